--- a/cypressvane/src/transport/gateway/connection.rs
+++ b/cypressvane/src/transport/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! The connections of callers on routes.
+//! Connections of callers on routes.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -12,28 +12,28 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use super::Gateway;
-use crate::transport::http::keepalive::give_up_after;
+use crate::transport::http::keepalive::set_user_timeout;
 use crate::transport::http::listener::{Service, State};
 
-/// Bytes read ahead of a request; twice the largest head that the users' sites allow.
+/// Size of a connection's read buffer in bytes; twice the largest head that the users' sites allow.
 const READ_BYTES: usize = 32 * 1024;
-/// Time after which bytes that a caller does not acknowledge break the connection: the shortest
-/// time after which a caller gives a silent stream up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(5);
+/// Time after which data that a caller has not acknowledged breaks the connection: the shortest time after which
+/// a caller abandons a silent stream.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Serves the connections of callers on routes.
 pub(crate) struct Routes {
     pub(crate) gateway: Gateway,
     /// How long a connection may be idle.
     pub(crate) idle: Duration,
-    /// Most connections that are open at once.
+    /// Largest number of connections open at once.
     pub(crate) most: usize,
 }
 
 impl Service for Routes {
     async fn serve(&self, stream: TcpStream, state: &State) {
         if state.open() > self.most {
-            // Closed before a byte was read, so the caller knows that nothing ran.
+            // The connection closes before a byte is read, so the caller knows that nothing ran.
             return;
         }
         self.serve_requests(stream, state).await;
@@ -42,9 +42,9 @@
 
 impl Routes {
     async fn serve_requests(&self, stream: TcpStream, state: &State) {
-        // Without these, events only come later and a lost caller is noticed later.
+        // Errors are ignored: without these options, events and the loss of a caller are only delayed.
         let _ = stream.set_nodelay(true);
-        let _ = give_up_after(&stream, UNACKNOWLEDGED);
+        let _ = set_user_timeout(&stream, UNACKNOWLEDGED_TIMEOUT);
         let service = service_fn(|request| async {
             let mut response = self.gateway.answer(request).await;
             if state.is_closing() {
@@ -64,7 +64,7 @@
             false
         };
         let ended = async {
-            // Whatever ended it, the caller knows from its side.
+            // The caller sees the end of the connection itself, so the error is not reported.
             let _ = connection.as_mut().await;
             true
         };
--- a/cypressvane/src/transport/http/answer.rs
+++ b/cypressvane/src/transport/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that this host makes itself.
+//! Responses that this host generates itself.
 
 use http_types::headers::{CONTENT_TYPE, RETRY_AFTER};
 use http_types::{Response, StatusCode};
@@ -6,13 +6,13 @@
 
 use crate::protocol::refusal::Refusal;
 
-/// The header that carries the request id, to callers and to backend servers.
+/// Header that carries the request id, to callers and to backend servers.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
 
-/// A JSON answer.
+/// Builds a JSON response.
 ///
 /// # Panics
-/// When `value` has no JSON form or `status` is no status, which are faults of the program.
+/// When `value` has no JSON form or `status` is no valid status; both are programming errors.
 pub(crate) fn json<T: Serialize>(status: u16, value: &T) -> Response {
     let body = serde_json::to_vec(value).expect("plain values have a JSON form");
     let mut response = plain(status, body);
@@ -20,14 +20,14 @@
     response
 }
 
-/// A text answer.
+/// Builds a text response.
 pub(crate) fn text(status: u16, body: impl Into<String>) -> Response {
     let mut response = plain(status, body.into().into_bytes());
     response.insert_header(CONTENT_TYPE, "text/plain; charset=utf-8");
     response
 }
 
-/// An answer of any kind.
+/// Builds a response with a body of any type.
 pub(crate) fn plain(status: u16, body: Vec<u8>) -> Response {
     let status = StatusCode::try_from(status).expect("the program uses known statuses");
     let mut response = Response::new(status);
@@ -35,7 +35,7 @@
     response
 }
 
-/// The answer that refuses a request.
+/// Builds the response for a refused request.
 pub(crate) fn refusal(refusal: &Refusal) -> Response {
     let mut response = json(refusal.reason.code.status(), &refusal.body());
     response.insert_header(REQUEST_ID, &refusal.request_id);
--- a/cypressvane/src/transport/http/client.rs
+++ b/cypressvane/src/transport/http/client.rs
@@ -1,6 +1,6 @@
-//! Calls to other processes, one connection a call.
+//! An HTTP client that opens one connection per call.
 //!
-//! A connection is never used for a second call, so a late answer cannot be taken for another's.
+//! A connection is never reused, so a late answer cannot be taken for the answer to another call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,41 +15,41 @@
 use crate::state::clock::Instant;
 use crate::transport::runtime::within;
 
-/// Bytes of a body read at once.
+/// Size of a read of a body, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Time after which a cut is noticed on a call that waits for its answer.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+/// Time after which a call that waits for its answer notices that the connection is cut.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Why a call gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No connection was made, so no byte of the call was sent.
+    /// No connection was established, so no byte of the call was sent.
     #[error("{address} cannot be reached: {cause}")]
     Unreachable {
-        /// Where.
+        /// The address that was called.
         address: SocketAddr,
-        /// What the system said.
+        /// Cause of the failure.
         cause: String,
     },
-    /// The call was sent, at least in part, and its whole answer did not come.
+    /// The call was sent, at least in part, and its answer is incomplete or malformed.
     #[error("the answer of {address} broke off: {cause}")]
     Broken {
-        /// Where.
+        /// The address that was called.
         address: SocketAddr,
-        /// What happened.
+        /// What went wrong.
         cause: String,
     },
-    /// The call was sent, and nothing came in time.
+    /// The call was sent, and the answer or the rest of it did not arrive in time.
     #[error("{address} sent nothing in time")]
     Silent {
-        /// Where.
+        /// The address that was called.
         address: SocketAddr,
     },
     /// The answer is larger than allowed.
     #[error("the answer of {address} is larger than {limit} bytes")]
     TooLarge {
-        /// Where.
+        /// The address that was called.
         address: SocketAddr,
         /// The limit in bytes.
         limit: u64,
@@ -63,7 +63,7 @@
     socket: Socket,
 }
 
-/// A whole answer.
+/// An answer with its whole body.
 #[derive(Debug)]
 pub struct Reply {
     /// Status and headers.
@@ -89,12 +89,12 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// `Error::Unreachable` when there is none within `limit`.
+/// `Error::Unreachable` when no connection is established within `limit`.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Connection, Error> {
-    connect_noticing(address, limit, UNACKNOWLEDGED).await
+    connect_noticing(address, limit, UNACKNOWLEDGED_TIMEOUT).await
 }
 
-/// Opens a connection that breaks when its other end acknowledges nothing for `unacknowledged`.
+/// Opens a connection that breaks when sent data or keepalive probes stay unacknowledged for `unacknowledged`.
 pub(crate) async fn connect_noticing(
     address: SocketAddr,
     limit: Duration,
@@ -119,12 +119,12 @@
     /// Sends the request and waits for the head of the answer.
     ///
     /// # Errors
-    /// `Error::Broken` or `Error::Silent`; either way the request may have run.
+    /// `Error::Broken` or `Error::Silent`; in both cases, the request may have run.
     pub async fn send(self, mut request: Request, limit: Duration) -> Result<Response, Error> {
         let address = self.address;
         request.insert_header(CONNECTION, "close");
         let broken = |cause: String| Error::Broken { address, cause };
-        // The library's future is large; it is kept only until the head of the answer has come.
+        // The library's future is large, so it is boxed and kept only until the head of the answer has arrived.
         let call = Box::pin(async_h1::connect(self.socket, request));
         let response = within(limit, call)
             .await
@@ -137,7 +137,7 @@
     }
 }
 
-/// Reads a whole body and checks that it is as long as the head says.
+/// Reads a whole body and checks its length against the head.
 ///
 /// # Errors
 /// Fails when the body breaks off, takes longer than `limit`, or is larger than `bytes_max`.
@@ -183,7 +183,7 @@
     Ok(body)
 }
 
-/// Makes a whole call.
+/// Makes a call: opens a connection, sends the request and reads the whole answer.
 ///
 /// # Errors
 /// `Error::Unreachable` when nothing was sent; otherwise the call may have taken effect.
@@ -201,10 +201,10 @@
     Ok(Reply { head, body })
 }
 
-/// Builds a request to an address; `path` begins with a slash and may have a query.
+/// Builds a request to an address; `path` starts with a slash and may contain a query.
 ///
 /// # Panics
-/// When `path` is no path, which is a fault of the program.
+/// When `path` is malformed, which is a programming error.
 #[must_use]
 pub fn request(method: Method, address: SocketAddr, path: &str) -> Request {
     let url = Url::parse(&format!("http://{address}{path}")).expect("the path is well formed");
--- a/cypressvane/src/transport/http/framing.rs
+++ b/cypressvane/src/transport/http/framing.rs
@@ -1,11 +1,11 @@
-//! Whether the head of a message says in one way only where its body ends.
+//! Rejects heads that leave the length of their message's body ambiguous, to prevent request smuggling.
 //!
-//! `async-h1` takes the first of two lengths, and a length with a sign. Whoever stands before or
-//! behind this host may take the other one, and see another request where the body ends.
+//! `async-h1` takes the first of two lengths, and accepts a length with a sign. A proxy or server in front of or
+//! behind this host may take the other length, and see another request where the body ends.
 
 use http_types::headers::{CONTENT_LENGTH, Headers, TRANSFER_ENCODING};
 
-/// Why the end of a message's body is not known for sure; `None` when it is.
+/// Returns why the end of a message's body is ambiguous, or `None` if it is not.
 pub(super) fn fault(headers: &Headers) -> Option<&'static str> {
     let lengths = headers.get(CONTENT_LENGTH);
     let codings = headers.get(TRANSFER_ENCODING);
--- a/cypressvane/src/transport/http/keepalive.rs
+++ b/cypressvane/src/transport/http/keepalive.rs
@@ -1,4 +1,4 @@
-//! Notices that the other end of a connection is cut off, though nothing says so.
+//! Detects connections whose other end is unreachable although no reset arrived.
 
 use std::io;
 use std::time::Duration;
@@ -7,38 +7,38 @@
 use smol::net::TcpStream;
 
 /// Idle time after which a connection is probed, and time between two probes.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Breaks a connection whose other end has acknowledged nothing for `limit`.
+/// Breaks a connection whose other end leaves sent data unacknowledged for `limit` (`TCP_USER_TIMEOUT`).
 ///
 /// # Errors
-/// When the system does not take the option.
-pub(crate) fn give_up_after(stream: &TcpStream, limit: Duration) -> io::Result<()> {
+/// When the system rejects the option.
+pub(crate) fn set_user_timeout(stream: &TcpStream, limit: Duration) -> io::Result<()> {
     let millis = u32::try_from(limit.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, millis)?;
     Ok(())
 }
 
-/// The same for a connection on which nothing may be sent for long: it is probed.
+/// Sets the user timeout and enables keepalive probes, for a connection on which nothing may be sent for long.
 ///
-/// The number of probes is set too: not every system ends them by the limit, which bounds data that is
-/// not acknowledged, and by default nine go unanswered first. The shortest silence that is noticed is two
-/// seconds.
+/// The number of probes is set too. The user timeout bounds unacknowledged data, and not every system ends the probes
+/// by it; by default, nine probes go unanswered before the connection breaks. The shortest silence that is detected
+/// is two seconds.
 ///
 /// # Errors
-/// When the system does not take an option.
+/// When the system rejects an option.
 pub(crate) fn probe(stream: &TcpStream, limit: Duration) -> io::Result<()> {
-    give_up_after(stream, limit)?;
+    set_user_timeout(stream, limit)?;
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, PROBE)?;
-    sockopt::set_tcp_keepintvl(stream, PROBE)?;
-    sockopt::set_tcp_keepcnt(stream, probes(limit))?;
+    sockopt::set_tcp_keepidle(stream, PROBE_INTERVAL)?;
+    sockopt::set_tcp_keepintvl(stream, PROBE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, probe_count(limit))?;
     Ok(())
 }
 
-/// Unanswered probes that, after the idle time, fill the limit.
-fn probes(limit: Duration) -> u32 {
-    let seconds = limit.saturating_sub(PROBE).as_secs() / PROBE.as_secs();
+/// Returns the number of unanswered probes that, after the idle time, fit into the limit; at least one.
+fn probe_count(limit: Duration) -> u32 {
+    let seconds = limit.saturating_sub(PROBE_INTERVAL).as_secs() / PROBE_INTERVAL.as_secs();
     u32::try_from(seconds).unwrap_or(u32::MAX).max(1)
 }
 
--- a/cypressvane/src/transport/http/keepalive_tests.rs
+++ b/cypressvane/src/transport/http/keepalive_tests.rs
@@ -1,10 +1,9 @@
-//! What the system is told about connections that fall silent.
+//! Guards against keepalive probes that outlast the user timeout.
 //!
-//! Seen: on a site where most open connections fell silent without a reset while new ones worked, calls that
-//! waited at the platform were noticed 10 s later, not after the 2.5 s that they were set to. The limit
-//! bounds unacknowledged data; nothing is sent on a call that waits, and its probes went on for as many
-//! times as the system has by default, which is nine. Proved by the moments at which the hosts of that
-//! site read the list again: 10.0 s after the silence began, the first probe and nine more.
+//! On a site where most open connections fell silent without a reset while new ones worked, calls that waited at the
+//! platform broke after 10.0 s instead of the configured 2.5 s; the hosts read the host list again that late. The user
+//! timeout bounds only unacknowledged data, and a waiting call sends none, so the probes ran for the system's default
+//! count: the first probe and nine more.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -15,14 +14,14 @@
 use super::probe;
 
 #[test]
-fn probes_that_nobody_answers_end_within_the_limit() {
+fn unanswered_probes_end_within_the_limit() {
     struct Case {
         limit_ms: u64,
-        /// From the last byte to the end, by the system's schedule of probes.
+        /// Time from the last byte until the connection breaks, by the probe schedule.
         ends_ms: u64,
     }
     let cases = [
-        // The system counts idle time in whole seconds: one, and one more for the answer.
+        // The system counts in whole seconds: one of idle time, and one more for the answer to the probe.
         Case {
             limit_ms: 1_000,
             ends_ms: 2_000,
--- a/cypressvane/src/transport/http/listener.rs
+++ b/cypressvane/src/transport/http/listener.rs
@@ -1,4 +1,4 @@
-//! A listener: accepts connections, counts them, and ends them in good order.
+//! A listener: accepts and counts connections, and shuts them down gracefully.
 
 use std::future::Future;
 use std::io;
@@ -14,43 +14,43 @@
 use super::open::Count;
 use crate::transport::runtime::spawn;
 
-/// How long the listener rests when the system gives it no connection.
+/// Backoff after a failed `accept`.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// What serves the connections of a listener.
+/// Serves the connections of a listener.
 pub(crate) trait Service: Send + Sync + 'static {
-    /// Serves the requests of a connection until it ends.
+    /// Serves the requests of one connection until it ends.
     fn serve(&self, stream: TcpStream, state: &State) -> impl Future<Output = ()> + Send;
 }
 
-/// What the connections of a listener share.
+/// State that all connections of a listener share.
 #[derive(Debug)]
 pub(crate) struct State {
     open: Count,
     closing: AtomicBool,
-    /// Closed when idle connections are to end.
+    /// Carries no messages; closed to make idle connections end.
     stopped: Receiver<()>,
 }
 
 impl State {
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub(crate) fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Whether each connection is to close after its next answer.
+    /// Whether each connection must close after its next answer.
     pub(crate) fn is_closing(&self) -> bool {
         self.closing.load(Ordering::Relaxed)
     }
 
-    /// Waits until idle connections are to end.
+    /// Waits until idle connections must end.
     pub(crate) async fn stopped(&self) {
-        // The channel carries nothing; it is closed to stop.
+        // The channel carries no messages, so this returns when it is closed.
         let _ = self.stopped.recv().await;
     }
 }
 
-/// A running listener; dropping it ends it with all its connections.
+/// A running listener; dropping the handle stops accepting connections and ends the idle ones.
 #[derive(Debug)]
 pub struct Handle {
     address: SocketAddr,
@@ -83,31 +83,31 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.state.open()
     }
 
-    /// Closes each connection after its next answer, and still accepts new ones.
+    /// Makes each connection close after its next answer; new connections are still accepted.
     pub fn close_after_answers(&self) {
         self.state.closing.store(true, Ordering::Relaxed);
     }
 
-    /// Accepts no more connections and waits for the open ones; tells whether all ended in time.
+    /// Stops accepting connections and waits for the open ones; returns whether all ended within `limit`.
     pub async fn stop(mut self, limit: Duration) -> bool {
         self.close_after_answers();
         if let Some(accepting) = self.accepting.take() {
             accepting.cancel().await;
         }
         self.stop.close();
-        self.state.open.closed(limit).await
+        self.state.open.wait_until_zero(limit).await
     }
 }
 
--- a/cypressvane/src/transport/http/mod.rs
+++ b/cypressvane/src/transport/http/mod.rs
@@ -1,4 +1,6 @@
-//! HTTP towards callers, operators, hosts and backend servers, by `async-h1`.
+//! HTTP towards callers, operators, hosts and backend servers, on `async-h1`.
+//!
+//! `listener` and `keepalive` also serve the connections of `gateway` and `backend`, which use `hyper`.
 
 pub(crate) mod answer;
 pub mod client;
--- a/cypressvane/src/transport/http/open.rs
+++ b/cypressvane/src/transport/http/open.rs
@@ -1,4 +1,4 @@
-//! Counts what is open, for as long as it is.
+//! Counts open connections.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,31 +8,31 @@
 
 use smol::Timer;
 
-/// How often something that stops looks whether all is closed.
+/// Interval at which a stopping listener checks whether all connections are closed.
 const STOP_POLL: Duration = Duration::from_millis(10);
 
-/// How many are open.
+/// The number of open connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Count(Arc<AtomicUsize>);
 
-/// One that is open; dropping it closes it.
+/// One open connection; dropping the guard removes it from the count.
 #[derive(Debug)]
 pub(crate) struct Guard(Count);
 
 impl Count {
-    /// Counts one until the guard is dropped.
+    /// Counts one more until the guard is dropped.
     pub(crate) fn enter(&self) -> Guard {
         self.0.fetch_add(1, Ordering::Relaxed);
         Guard(self.clone())
     }
 
-    /// The number that are open.
+    /// Returns the current number.
     pub(crate) fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Waits until none is open; tells whether that came within `limit`.
-    pub(crate) async fn closed(&self, limit: Duration) -> bool {
+    /// Waits until the count is zero; returns whether that happened within `limit`.
+    pub(crate) async fn wait_until_zero(&self, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         while self.get() > 0 && Instant::now() < end {
             Timer::after(STOP_POLL).await;
--- a/cypressvane/src/transport/http/server/connection.rs
+++ b/cypressvane/src/transport/http/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a listener: heads, answers, hang-ups, and when it closes.
+//! One connection of a listener: reads heads, writes answers, detects hang-ups, and decides when to close.
 
 use std::io;
 use std::pin::pin;
@@ -10,7 +10,7 @@
 use http_types::{Method, Request, Response};
 use smol::net::TcpStream;
 
-use super::{Call, Endpoint, Options, slow};
+use super::{Call, Endpoint, Options, too_slow};
 use crate::protocol::refusal::{Code, Reason};
 use crate::state::clock::Instant;
 use crate::transport::http::framing;
@@ -18,14 +18,14 @@
 use crate::transport::http::socket::Socket;
 use crate::transport::runtime::within;
 
-/// Bytes of an answer written at once.
+/// Size of a write of an answer, in bytes.
 const WRITE_BYTES: usize = 4 * 1024;
-/// How long a caller that was refused early may go on sending before the connection is cut.
+/// How long a caller that was refused early may continue to send before the connection is closed.
 const LINGER: Duration = Duration::from_secs(1);
-/// What the HTTP library's parser says of a head with too many headers.
+/// Error text of the HTTP library's parser for a head with too many headers.
 const TOO_MANY_HEADERS: &str = "too many headers";
 
-/// Whether a connection takes another request.
+/// What happens to a connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
     Request,
@@ -42,9 +42,9 @@
 }
 
 impl<E: Endpoint> Connection<'_, E> {
-    /// Serves its requests until it closes.
+    /// Serves requests until the connection closes.
     pub(super) async fn serve(mut self, stream: &TcpStream) {
-        // Tokens are small and must leave at once; without it they only come later.
+        // Tokens are small and must be sent at once. The error is ignored: without the option they are only delayed.
         let _ = stream.set_nodelay(true);
         if self.state.open() > self.options.connections {
             let reason = Reason::new(Code::TooManyConnections, "too many connections are open");
@@ -64,12 +64,12 @@
     }
 
     async fn serve_one(&mut self) -> io::Result<Next> {
-        if !self.next_arrives().await {
+        if !self.wait_for_request().await {
             return Ok(Next::Close);
         }
-        self.socket.begin_head();
+        self.socket.start_head();
         let decoded = {
-            // The library's future is large; it is kept only until the head has come.
+            // The library's future is large, so it is boxed and kept only until the head has arrived.
             let head = Box::pin(decode(self.socket.clone()));
             within(self.options.head, head).await
         };
@@ -77,17 +77,17 @@
             Some(Ok(Some(decoded))) => decoded,
             Some(Ok(None)) => return Ok(Next::Close),
             Some(Err(error)) => return self.refuse(self.head_reason(&error)).await,
-            None => return self.refuse(slow("head")).await,
+            None => return self.refuse(too_slow("head")).await,
         };
         if let Some(fault) = framing::fault(request.as_ref()) {
             let message = format!("the head of the request is malformed: {fault}");
             return self.refuse(Reason::new(Code::BadRequest, message)).await;
         }
-        // The library's second handle to the body would only drain it; `reusable` decides instead.
+        // The library's second handle to the body would only drain it; `is_reusable` handles unread bodies instead.
         drop(body);
         let method = request.method();
         let announced = announced_body(&request);
-        let mut keep = wants_keep_alive(&request);
+        let mut keep_alive = wants_keep_alive(&request);
         let call = Call {
             request,
             arrived: Instant::now(),
@@ -102,20 +102,20 @@
         let Some(response) = answer.or(hangup).await else {
             return Ok(Next::Close);
         };
-        let reusable = announced == Some(self.socket.body_bytes());
-        keep &= reusable && !self.state.is_closing();
-        self.write(response, method, !keep).await?;
-        Ok(if keep {
+        let is_reusable = announced == Some(self.socket.body_bytes());
+        keep_alive &= is_reusable && !self.state.is_closing();
+        self.write(response, method, !keep_alive).await?;
+        Ok(if keep_alive {
             Next::Request
-        } else if reusable {
+        } else if is_reusable {
             Next::Close
         } else {
             Next::Linger
         })
     }
 
-    /// Waits for the first byte of a request; `false` when there will be none.
-    async fn next_arrives(&self) -> bool {
+    /// Waits for the first byte of a request; `false` if the connection is idle for too long, ended or stopped.
+    async fn wait_for_request(&self) -> bool {
         let readable = self.socket.readable();
         let stopped = async {
             self.state.stopped().await;
@@ -127,7 +127,7 @@
 
     fn head_reason(&self, error: &http_types::Error) -> Reason {
         let text = error.to_string();
-        if self.socket.oversize() || text.contains(TOO_MANY_HEADERS) {
+        if self.socket.is_head_too_long() || text.contains(TOO_MANY_HEADERS) {
             return Reason::new(Code::HeadTooLarge, "the head of the request is too large");
         }
         Reason::new(
@@ -142,7 +142,7 @@
         Ok(Next::Linger)
     }
 
-    /// Writes an answer as it comes, until it ends or the caller is gone.
+    /// Writes an answer as its body becomes available, until it ends or the caller hangs up.
     async fn write(
         &mut self,
         mut response: Response,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Lets a caller that is still sending read its answer before the connection closes.
+    /// Drains a caller that is still sending, so that it can read its answer before the connection closes.
     async fn linger(&mut self) {
         self.socket.shutdown();
         let mut buffer = [0; WRITE_BYTES];
@@ -187,7 +187,7 @@
     }
 }
 
-/// Bytes of body that the head announces; `None` when it does not say.
+/// Returns the body length that the head announces; `None` if a transfer coding leaves it open.
 fn announced_body(request: &Request) -> Option<u64> {
     if request.header(TRANSFER_ENCODING).is_some() {
         return None;
--- a/cypressvane/src/transport/http/server/mod.rs
+++ b/cypressvane/src/transport/http/server/mod.rs
@@ -1,4 +1,4 @@
-//! A listener and its connections.
+//! An HTTP server: serves the connections of a listener to an endpoint.
 
 mod connection;
 
@@ -22,23 +22,23 @@
 
 pub use crate::transport::http::listener::Handle;
 
-/// Bytes of a request body read at once.
+/// Size of a read of a request body, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Bounds on connections.
+/// Limits and timeouts of connections.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Largest request body, in bytes.
     pub body_bytes: u64,
-    /// Most connections open at once.
+    /// Largest number of connections open at once.
     pub connections: usize,
-    /// From the first byte of a request to the end of its head.
+    /// Time from the first byte of a request to the end of its head.
     pub head: Duration,
-    /// From the head of a request to the end of its body.
+    /// Time from the end of a request's head to the end of its body.
     pub body: Duration,
     /// How long a kept-alive connection may stay idle.
     pub idle: Duration,
-    /// How long a reader may take no byte of its answer.
+    /// How long one write of an answer may block because the caller does not read.
     pub write: Duration,
 }
 
@@ -55,12 +55,12 @@
     }
 }
 
-/// What answers the requests of a listener.
+/// Answers the requests of a listener.
 pub trait Endpoint: Send + Sync + 'static {
     /// Answers one request. The future is dropped when the caller hangs up.
     fn answer(&self, call: Call) -> impl Future<Output = Response> + Send;
 
-    /// Answers a request that could not be read.
+    /// Answers a request that was not read, for example because its head is malformed or too many connections are open.
     fn reject(&self, reason: Reason) -> Response;
 }
 
@@ -69,7 +69,7 @@
 pub struct Call {
     /// Method, target, headers and body.
     pub request: Request,
-    /// When its head had been read.
+    /// When its head was complete.
     pub arrived: Instant,
     body_bytes: u64,
     body_time: Duration,
@@ -79,7 +79,7 @@
     /// Reads the whole body.
     ///
     /// # Errors
-    /// Says whether it is too large, too slow or broken.
+    /// When it is too large, arrives too slowly, or is broken.
     pub async fn body(&mut self) -> Result<Vec<u8>, Reason> {
         let too_large = || {
             let message = format!("the body is larger than {} bytes", self.body_bytes);
@@ -100,7 +100,7 @@
             let left = end.saturating_duration_since(Instant::now());
             let read = within(left, self.request.read(&mut buffer)).await;
             let count = match read {
-                None => return Err(slow("body")),
+                None => return Err(too_slow("body")),
                 Some(Err(error)) => return Err(Reason::new(Code::BadRequest, error.to_string())),
                 Some(Ok(0)) => break,
                 Some(Ok(count)) => count,
@@ -120,8 +120,8 @@
     }
 }
 
-/// Why a part of a request that did not come in time is refused.
-fn slow(part: &str) -> Reason {
+/// The reason for refusing a request of which a part did not arrive in time.
+fn too_slow(part: &str) -> Reason {
     Reason::new(
         Code::SlowRequest,
         format!("the {part} of the request came too slowly"),
@@ -140,7 +140,7 @@
     listener::bind(address, Server { options, endpoint })
 }
 
-/// Serves connections to an endpoint.
+/// The service that connects a listener to an endpoint.
 struct Server<E> {
     options: Options,
     endpoint: Arc<E>,
--- a/cypressvane/src/transport/http/socket.rs
+++ b/cypressvane/src/transport/http/socket.rs
@@ -1,9 +1,8 @@
-//! A TCP stream under the HTTP library that bounds heads and notices what the library does not.
+//! A TCP stream for `async-h1` that bounds heads and detects hang-ups.
 //!
-//! `async-h1` reads a head line of any length into memory and drops bytes that it read past a
-//! request, and its parser takes a line feed alone for the end of a line. This wrapper hands out a head
-//! exactly up to its end, fails one that is too long or has such a line, keeps the rest for the next
-//! request, and counts what was read of a body.
+//! `async-h1` reads a head line of any length into memory, drops bytes that it read past a request, and accepts a bare
+//! line feed as the end of a line. This wrapper returns a head exactly up to its end, rejects one that is too long or
+//! contains a bare line feed, keeps the remaining bytes for the next request, and counts the bytes read of a body.
 
 use std::io;
 use std::pin::Pin;
@@ -16,16 +15,16 @@
 use smol::Timer;
 use smol::net::TcpStream;
 
-/// Longest head, in bytes; just under the library's own bound, so that this one is met first.
+/// Longest head, in bytes; just under the library's own bound, so that this bound applies first.
 const HEAD_BYTES_MAX: usize = 8 * 1024 - 1;
-/// What ends a head.
+/// The empty line that ends a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Bytes read from the stream at once while a head is expected.
+/// Size of a read from the stream while a head is expected, in bytes.
 const HEAD_READ_BYTES: usize = 4 * 1024;
-/// How often a stream with unread bytes is looked at again for its end.
+/// Interval at which a stream with unread bytes is checked for its end.
 const HANGUP_RETRY: Duration = Duration::from_millis(100);
 
-/// What of a message is being read.
+/// The part of a message that is being read.
 #[derive(Debug)]
 enum Phase {
     Head { delivered: usize, tail: Vec<u8> },
@@ -35,18 +34,18 @@
 #[derive(Debug)]
 struct Reading {
     phase: Phase,
-    /// Read from the stream, not yet handed out.
-    spare: Vec<u8>,
+    /// Bytes read from the stream and not returned yet.
+    buffered: Vec<u8>,
 }
 
 #[derive(Debug)]
 struct Shared {
     reading: Mutex<Reading>,
-    oversize: AtomicBool,
+    head_too_long: AtomicBool,
     body_bytes: AtomicU64,
 }
 
-/// A cloneable stream; all clones are the same connection.
+/// A cloneable stream; all clones share one connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Socket {
     stream: TcpStream,
@@ -54,7 +53,7 @@
 }
 
 impl Socket {
-    /// Wraps a stream that is about to carry a head.
+    /// Wraps a stream whose next bytes are a head.
     pub(crate) fn new(stream: TcpStream) -> Self {
         let phase = Phase::Head {
             delivered: 0,
@@ -62,11 +61,11 @@
         };
         let reading = Mutex::new(Reading {
             phase,
-            spare: Vec::new(),
+            buffered: Vec::new(),
         });
         let shared = Shared {
             reading,
-            oversize: AtomicBool::new(false),
+            head_too_long: AtomicBool::new(false),
             body_bytes: AtomicU64::new(0),
         };
         Self {
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Expects the head of the next message.
-    pub(crate) fn begin_head(&self) {
+    /// Starts reading the head of the next message.
+    pub(crate) fn start_head(&self) {
         let mut reading = self.reading();
         reading.phase = Phase::Head {
             delivered: 0,
@@ -85,19 +84,19 @@
         self.shared.body_bytes.store(0, Ordering::Relaxed);
     }
 
-    /// Whether the head was longer than allowed.
-    pub(crate) fn oversize(&self) -> bool {
-        self.shared.oversize.load(Ordering::Relaxed)
+    /// Whether a head was longer than `HEAD_BYTES_MAX`.
+    pub(crate) fn is_head_too_long(&self) -> bool {
+        self.shared.head_too_long.load(Ordering::Relaxed)
     }
 
-    /// Bytes handed out since the end of the head.
+    /// Returns the number of bytes read since the end of the head.
     pub(crate) fn body_bytes(&self) -> u64 {
         self.shared.body_bytes.load(Ordering::Relaxed)
     }
 
-    /// Waits for the first byte of a message; `false` when the other side closed instead.
+    /// Waits for the first byte of a message; `false` if the connection ended instead.
     pub(crate) async fn readable(&self) -> bool {
-        if !self.reading().spare.is_empty() {
+        if !self.reading().buffered.is_empty() {
             return true;
         }
         matches!(self.stream.peek(&mut [0]).await, Ok(count) if count > 0)
@@ -105,7 +104,7 @@
 
     /// Waits until the other side has closed the connection.
     ///
-    /// A caller that closes only its sending half is taken as gone too.
+    /// A caller that closes only its sending half is treated as gone too.
     pub(crate) async fn hangup(&self) {
         while self.readable().await {
             Timer::after(HANGUP_RETRY).await;
@@ -114,7 +113,7 @@
 
     /// Closes the sending half.
     pub(crate) fn shutdown(&self) {
-        // An error means that the connection is gone already, which is what was wanted.
+        // An error means that the connection is already closed.
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
@@ -127,16 +126,16 @@
 }
 
 impl Reading {
-    /// Moves bytes of the head from `spare` to `buffer`, at most up to the end of the head.
+    /// Moves bytes of the head from `buffered` to `buffer`, at most up to the end of the head.
     fn take_head(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let Phase::Head { delivered, tail } = &mut self.phase else {
             return Ok(0);
         };
         let mut window = std::mem::take(tail);
         let carried = window.len();
-        window.extend_from_slice(&self.spare);
+        window.extend_from_slice(&self.buffered);
         let end = memchr::memmem::find(&window, HEAD_END).map(|at| at + HEAD_END.len() - carried);
-        let wanted = end.unwrap_or(self.spare.len());
+        let wanted = end.unwrap_or(self.buffered.len());
         let count = wanted.min(buffer.len());
         *delivered += count;
         if *delivered > HEAD_BYTES_MAX {
@@ -151,11 +150,11 @@
                 "a line of the head ends without a carriage return",
             ));
         }
-        buffer[..count].copy_from_slice(&self.spare[..count]);
-        let handed_out = carried + count;
-        let kept = handed_out.saturating_sub(HEAD_END.len() - 1);
-        *tail = window[kept..handed_out].to_vec();
-        self.spare.drain(..count);
+        buffer[..count].copy_from_slice(&self.buffered[..count]);
+        let returned = carried + count;
+        let kept = returned.saturating_sub(HEAD_END.len() - 1);
+        *tail = window[kept..returned].to_vec();
+        self.buffered.drain(..count);
         if end == Some(count) {
             self.phase = Phase::Body;
         }
@@ -166,15 +165,15 @@
         matches!(self.phase, Phase::Head { delivered, .. } if delivered > HEAD_BYTES_MAX)
     }
 
-    fn take_spare(&mut self, buffer: &mut [u8]) -> usize {
-        let count = self.spare.len().min(buffer.len());
-        buffer[..count].copy_from_slice(&self.spare[..count]);
-        self.spare.drain(..count);
+    fn take_buffered(&mut self, buffer: &mut [u8]) -> usize {
+        let count = self.buffered.len().min(buffer.len());
+        buffer[..count].copy_from_slice(&self.buffered[..count]);
+        self.buffered.drain(..count);
         count
     }
 }
 
-/// Whether a line feed from `from` on has no carriage return before it.
+/// Whether a line feed at or after `from` is not preceded by a carriage return.
 fn has_bare_line_feed(bytes: &[u8], from: usize) -> bool {
     let mut feeds = memchr::memchr_iter(b'\n', bytes).filter(|at| *at >= from);
     feeds.any(|at| at == 0 || bytes[at - 1] != b'\r')
@@ -193,25 +192,25 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if matches!(reading.phase, Phase::Body) {
-            let count = if reading.spare.is_empty() {
+            let count = if reading.buffered.is_empty() {
                 ready!(Pin::new(&mut this.stream).poll_read(context, buffer))?
             } else {
-                reading.take_spare(buffer)
+                reading.take_buffered(buffer)
             };
             shared.body_bytes.fetch_add(count as u64, Ordering::Relaxed);
             return Poll::Ready(Ok(count));
         }
-        if reading.spare.is_empty() {
-            let mut fresh = [0; HEAD_READ_BYTES];
-            let count = ready!(Pin::new(&mut this.stream).poll_read(context, &mut fresh))?;
+        if reading.buffered.is_empty() {
+            let mut chunk = [0; HEAD_READ_BYTES];
+            let count = ready!(Pin::new(&mut this.stream).poll_read(context, &mut chunk))?;
             if count == 0 {
                 return Poll::Ready(Ok(0));
             }
-            reading.spare.extend_from_slice(&fresh[..count]);
+            reading.buffered.extend_from_slice(&chunk[..count]);
         }
         let taken = reading.take_head(buffer);
         if reading.is_too_long() {
-            shared.oversize.store(true, Ordering::Relaxed);
+            shared.head_too_long.store(true, Ordering::Relaxed);
         }
         Poll::Ready(taken)
     }
