--- a/cypressvane/src/transport/callers/claim.rs
+++ b/cypressvane/src/transport/callers/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys, so that a keyed request runs at most once in the whole fleet.
+//! Claims of idempotency keys, so that a request with a key runs at most once in the whole fleet.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 use crate::state::units::since_epoch;
 use crate::transport::node::Node;
 
-/// The row that claims a key.
+/// The table row that claims a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Claim {
     host: Name,
@@ -19,20 +19,20 @@
     claimed_at: u64,
 }
 
-/// How a claim ended.
+/// The result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     /// The key belongs to this request.
-    Mine,
-    /// Another request took the key before, and may have run.
+    Claimed,
+    /// Another request claimed the key first, and may have run.
     Taken(Reason),
-    /// The table service gave no answer, so the request must not run.
+    /// The claim could not be confirmed in the table service, so the request must not run.
     Unavailable(Reason),
 }
 
-/// Claims a key of an account for a request.
+/// Claims an account's key for a request.
 pub(crate) async fn claim(node: &Node, account: &str, key: &str, request_id: &str) -> Outcome {
-    // The account's name and the key are hashed together, since a key may hold any bytes.
+    // Account name and key are hashed together, because a key may contain any bytes.
     let row = format!(
         "claims/{}",
         digest::hex(format!("{account}\0{key}").as_bytes())
@@ -45,24 +45,26 @@
     };
     let text = serde_json::to_string(&claim).expect("plain values have a JSON form");
     match node.table.put(&row, &text, Expect::Absent).await {
-        Ok(Write::Done) => Outcome::Mine,
+        Ok(Write::Done) => Outcome::Claimed,
         Ok(Write::Conflict) | Err(Error::Lost(_)) => read_back(node, &row, &claim).await,
-        Err(error) => unavailable(node, &error),
+        Err(error) => claim_unavailable(node, &error),
     }
 }
 
-/// Finds out whose the row is. A row that is not there may still be written by a write that was
-/// sent before, so its absence is no leave to run.
+/// Finds which request owns the row.
+///
+/// An absent row may still be written by an earlier write that is in transit, so its absence does not permit the
+/// request to run.
 async fn read_back(node: &Node, row: &str, claim: &Claim) -> Outcome {
     let found = match node.table.get(row).await {
         Ok(found) => found,
-        Err(error) => return unavailable(node, &error),
+        Err(error) => return claim_unavailable(node, &error),
     };
     let Some(found) = found else {
-        return unavailable(node, &Error::Lost("the claim is not there".to_owned()));
+        return claim_unavailable(node, &Error::Lost("the claim is not there".to_owned()));
     };
     match serde_json::from_str::<Claim>(&found.value) {
-        Ok(winner) if winner == *claim => Outcome::Mine,
+        Ok(winner) if winner == *claim => Outcome::Claimed,
         Ok(winner) => {
             let message = format!(
                 "the idempotency key was taken by request {} at host {}, which may have run",
@@ -70,11 +72,11 @@
             );
             Outcome::Taken(Reason::new(Code::Duplicate, message))
         }
-        Err(error) => unavailable(node, &Error::Unexpected(error.to_string())),
+        Err(error) => claim_unavailable(node, &Error::Unexpected(error.to_string())),
     }
 }
 
-fn unavailable(node: &Node, error: &Error) -> Outcome {
+fn claim_unavailable(node: &Node, error: &Error) -> Outcome {
     node.metrics
         .platform_failures
         .with_label_values(&["table"])
--- a/cypressvane/src/transport/callers/dispatch.rs
+++ b/cypressvane/src/transport/callers/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes an admitted request from waiting over the boundary to its answer.
+//! Runs an admitted request: waits for a grant, sends it to the backend server, and returns the answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use super::claim::{self, Outcome};
 use super::relay;
-use super::sent::Sent;
+use super::sent::SentRequest;
 use crate::coordination::pool::End;
 use crate::protocol::exchange::{Limit, NATIVE_LIMIT};
 use crate::protocol::refusal::{Code, Reason, Refusal};
@@ -27,29 +27,29 @@
 use crate::transport::runtime::within;
 use crate::transport::trace::{ANSWERED, Trace};
 
-/// Time past the deadline that a home is given to refuse a request before its holder does.
+/// Time past a request's due time in which its home may still refuse it; after that its holder refuses it.
 const HOME_MARGIN: Duration = Duration::from_millis(50);
-/// The header in which an engine says that it is leaving.
+/// Header in which an engine reports that it is leaving.
 const ENGINE_STATE: &str = "x-engine-state";
-/// What stands there then.
+/// Value of `ENGINE_STATE` while the engine is leaving.
 const ENGINE_DRAINING: &str = "draining";
 
-/// An admitted request with what is sent to the backend server.
+/// An admitted request with the HTTP request that is sent to the backend server.
 pub(crate) struct Job {
     pub(crate) request: Request<Waiting>,
     pub(crate) trace: Trace,
     pub(crate) wish: Wish,
-    /// What is sent; its host is set when the server is known.
+    /// What is sent; its host and port are set when the server is known.
     pub(crate) outgoing: HttpRequest,
     pub(crate) stream: bool,
     /// The caller's idempotency key.
     pub(crate) key: Option<String>,
-    /// What makes it the same as another attempt of its caller.
+    /// Identifies the request across the attempts of its caller.
     pub(crate) fingerprint: Fingerprint,
     pub(crate) path: String,
 }
 
-/// A request that is granted a server, with an open connection on which nothing was sent.
+/// A request that was granted a server, with an open connection on which nothing has been sent.
 struct Ready {
     request: Request<Waiting>,
     place: Place,
@@ -58,23 +58,23 @@
     address: SocketAddr,
 }
 
-/// Runs a job to its answer.
+/// Runs a job until it is answered or refused.
 pub(crate) async fn run(node: &Arc<Node>, mut job: Job) -> Response {
     let place = node.desk.hold(&job.wish);
-    let ready = wait(node, job.request, place, &job.wish, &mut job.trace).await;
+    let ready = wait_for_connection(node, job.request, place, &job.wish, &mut job.trace).await;
     let ready = match ready {
         Ok(ready) => ready,
-        Err(refusal) => return refused(&mut job.trace, &refusal),
+        Err(refusal) => return refusal_response(&mut job.trace, &refusal),
     };
-    let ready = match claimed(node, ready, &job.trace, job.key.as_deref()).await {
+    let ready = match claim_key(node, ready, &job.trace, job.key.as_deref()).await {
         Ok(ready) => ready,
-        Err(refusal) => return refused(&mut job.trace, &refusal),
+        Err(refusal) => return refusal_response(&mut job.trace, &refusal),
     };
-    // Servers may have ended under another copy of it meanwhile.
+    // While the request waited, servers may have ended under another copy of it.
     if let Some(reason) = node.quarantine.refusal(|| job.fingerprint) {
-        return refused(&mut job.trace, &ready.request.duplicate(reason));
+        return refusal_response(&mut job.trace, &ready.request.duplicate(reason));
     }
-    let sent = Sent {
+    let sent = SentRequest {
         node: Arc::clone(node),
         request_id: job.trace.request_id.clone(),
         account: job.trace.account.clone(),
@@ -87,14 +87,14 @@
     send(ready, job.trace, &job.wish, job.outgoing, job.stream, sent).await
 }
 
-/// The answer of a refusal, with the trace told.
-fn refused(trace: &mut Trace, refusal: &Refusal) -> Response {
+/// Records a refusal in the trace and builds its response.
+fn refusal_response(trace: &mut Trace, refusal: &Refusal) -> Response {
     trace.fail(&refusal.reason);
     answer::refusal(refusal)
 }
 
-/// Waits for a grant and a connection; a server that accepts none leaves the request waiting.
-async fn wait(
+/// Waits for a grant and connects to the server; if the server accepts no connection, the request waits again.
+async fn wait_for_connection(
     node: &Node,
     request: Request<Waiting>,
     mut place: Place,
@@ -103,10 +103,10 @@
 ) -> Result<Ready, Refusal> {
     let connect_time = Timeouts::of(node.config.timeouts.connect_ms);
     loop {
-        let left = wish.due.saturating_duration_since(Instant::now());
-        let word = within(left + HOME_MARGIN, place.word()).await;
-        let grant = match word {
-            // A grant that comes too late is no use: it goes back with the place.
+        let remaining = wish.due.saturating_duration_since(Instant::now());
+        let decision = within(remaining + HOME_MARGIN, place.word()).await;
+        let grant = match decision {
+            // This grant is too late to be used; it is returned when the place is dropped.
             Some(Word::Grant(_)) if Instant::now() >= wish.due => {
                 return Err(request.refuse(Reason::deadline_passed()));
             }
@@ -140,8 +140,8 @@
     }
 }
 
-/// Claims the idempotency key of a request that has one.
-async fn claimed(
+/// Claims the idempotency key of a request, if it has one.
+async fn claim_key(
     node: &Node,
     ready: Ready,
     trace: &Trace,
@@ -149,20 +149,20 @@
 ) -> Result<Ready, Refusal> {
     let Some(key) = key else { return Ok(ready) };
     match claim::claim(node, &trace.account, key, &ready.request.id).await {
-        Outcome::Mine => Ok(ready),
+        Outcome::Claimed => Ok(ready),
         Outcome::Taken(reason) => Err(ready.request.duplicate(reason)),
         Outcome::Unavailable(reason) => Err(ready.request.refuse(reason)),
     }
 }
 
-/// Crosses the boundary and passes the answer on.
+/// Sends the request to the server, after which it may have run, and returns or relays the answer.
 async fn send(
     ready: Ready,
     mut trace: Trace,
     wish: &Wish,
     mut outgoing: HttpRequest,
     stream: bool,
-    sent: Sent,
+    sent: SentRequest,
 ) -> Response {
     let Ready {
         request,
@@ -172,29 +172,32 @@
         ..
     } = ready;
     let node = Arc::clone(&sent.node);
-    aim(&mut outgoing, address);
+    set_target(&mut outgoing, address);
     outgoing.insert_header(REQUEST_ID, &request.id);
     let silence = Timeouts::of(node.config.timeouts.silence_ms);
     trace.sent();
     let dispatched = request.dispatch(Instant::now());
-    let left = wish.deadline.saturating_duration_since(dispatched.state.at);
-    let mut response = match connection.send(outgoing, silence.min(left)).await {
+    let remaining = wish.deadline.saturating_duration_since(dispatched.state.at);
+    let mut response = match connection.send(outgoing, silence.min(remaining)).await {
         Ok(response) => response,
         Err(error) => {
             place.finish(End::Broken);
-            sent.examine(&error);
-            return refused(&mut trace, &dispatched.fail(backend_reason(&error)));
+            sent.check_server_ended(&error);
+            return refusal_response(&mut trace, &dispatched.fail(backend_reason(&error)));
         }
     };
-    if answers_another(&response, &dispatched.id) {
+    if is_mismatched(&response, &dispatched.id) {
         place.finish(End::Broken);
         let message = "the backend server answered another request";
         let refusal = dispatched.fail(Reason::new(Code::AnswerMismatch, message));
-        return refused(&mut trace, &refusal);
+        return refusal_response(&mut trace, &refusal);
     }
-    let named = response.header(NATIVE_LIMIT);
-    let named = named.into_iter().flat_map(|values| values.iter());
-    place.hear_limit(Limit::read(named.map(HeaderValue::as_str)), &node.metrics);
+    let limit_values = response.header(NATIVE_LIMIT);
+    let limit_values = limit_values.into_iter().flat_map(|values| values.iter());
+    place.hear_limit(
+        Limit::read(limit_values.map(HeaderValue::as_str)),
+        &node.metrics,
+    );
     if stream && response.status().is_success() {
         let limits = relay::Limits {
             silence,
@@ -202,15 +205,15 @@
         };
         return relay::stream(dispatched, response, place, trace, limits, sent);
     }
-    let left = wish.deadline.saturating_duration_since(Instant::now());
+    let remaining = wish.deadline.saturating_duration_since(Instant::now());
     let bytes_max = node.config.limits.answer_bytes;
-    let body = client::read_whole(address, &mut response, bytes_max, left).await;
+    let body = client::read_whole(address, &mut response, bytes_max, remaining).await;
     match body {
-        Ok(_) if end_of(&response) == End::Leaving => {
+        Ok(_) if end_for(&response) == End::Leaving => {
             place.finish(End::Leaving);
             let message = "the backend server is leaving and refused the request";
             let refusal = dispatched.fail(Reason::new(Code::BackendFailed, message));
-            refused(&mut trace, &refusal)
+            refusal_response(&mut trace, &refusal)
         }
         Ok(body) => {
             trace
@@ -218,35 +221,35 @@
                 .first_token
                 .observe(wish.arrived.elapsed().as_secs_f64());
             trace.end(ANSWERED);
-            sent.answered();
-            place.finish(end_of(&response));
-            whole(&response, body, &dispatched.id)
+            sent.record_success();
+            place.finish(end_for(&response));
+            forwarded_response(&response, body, &dispatched.id)
         }
         Err(error) => {
             place.finish(End::Broken);
-            sent.examine(&error);
-            refused(&mut trace, &dispatched.fail(backend_reason(&error)))
+            sent.check_server_ended(&error);
+            refusal_response(&mut trace, &dispatched.fail(backend_reason(&error)))
         }
     }
 }
 
-/// Points a request at a server.
-fn aim(outgoing: &mut HttpRequest, address: SocketAddr) {
+/// Sets the host and port of a request to a server's.
+fn set_target(outgoing: &mut HttpRequest, address: SocketAddr) {
     let url: &mut Url = outgoing.url_mut();
     // An address is always a valid host and port of an http URL.
     let _ = url.set_ip_host(address.ip());
     let _ = url.set_port(Some(address.port()));
 }
 
-/// Whether an answer names a request id that is not this request's.
-fn answers_another(response: &Response, request_id: &str) -> bool {
+/// Whether an answer names the id of another request.
+fn is_mismatched(response: &Response, request_id: &str) -> bool {
     response
         .header(REQUEST_ID)
         .is_some_and(|values| values.as_str() != request_id)
 }
 
-/// What an answer with its whole body says of its server.
-fn end_of(response: &Response) -> End {
+/// Classifies, for the home, an answer whose body is complete.
+fn end_for(response: &Response) -> End {
     let state = response.header(ENGINE_STATE).map(|values| values.as_str());
     if state == Some(ENGINE_DRAINING) {
         End::Leaving
@@ -257,11 +260,11 @@
     }
 }
 
-/// The backend server's answer as the caller gets it.
-fn whole(from: &Response, body: Vec<u8>, request_id: &str) -> Response {
+/// Builds the caller's response from the backend server's answer.
+fn forwarded_response(from: &Response, body: Vec<u8>, request_id: &str) -> Response {
     let mut response = answer::plain(from.status().into(), body);
     for (name, values) in from {
-        if is_passed_on(name) {
+        if is_forwarded(name) {
             response.insert_header(name, values);
         }
     }
@@ -269,8 +272,8 @@
     response
 }
 
-/// Whether a header belongs to the message, not to one connection.
-pub(crate) fn is_passed_on(name: &HeaderName) -> bool {
+/// Whether a header is forwarded; hop-by-hop headers, framing headers and `Date` are not.
+pub(crate) fn is_forwarded(name: &HeaderName) -> bool {
     const KEEP_ALIVE: &str = "keep-alive";
     const PER_CONNECTION: [&str; 6] = [
         "proxy-authenticate",
@@ -280,11 +283,11 @@
         "upgrade",
         "expect",
     ];
-    let own = [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING, DATE];
-    !own.contains(name) && name != KEEP_ALIVE && !PER_CONNECTION.contains(&name.as_str())
+    let regenerated = [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING, DATE];
+    !regenerated.contains(name) && name != KEEP_ALIVE && !PER_CONNECTION.contains(&name.as_str())
 }
 
-/// What a caller is told of a call that gave no whole answer.
+/// Returns the reason that the caller gets for a call without a complete answer.
 pub(crate) fn backend_reason(error: &Error) -> Reason {
     match error {
         Error::Silent { .. } => Reason::new(
--- a/cypressvane/src/transport/callers/mod.rs
+++ b/cypressvane/src/transport/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The listener for callers.
+//! Requests of callers for models, completions and plain services.
 
 mod claim;
 mod dispatch;
@@ -31,27 +31,27 @@
 use crate::transport::http::server::{Call, Endpoint};
 use crate::transport::node::Node;
 use crate::transport::trace::Trace;
-use dispatch::{Job, is_passed_on};
+use dispatch::{Job, is_forwarded};
 use route::{Route, route};
 
-/// The header with the time until the whole answer is due, in milliseconds.
+/// Header with the time until the whole answer is due, in milliseconds.
 const DEADLINE: &str = "cypressvane-deadline-ms";
-/// Longest deadline that a caller may name, in milliseconds.
+/// Longest deadline that a caller may request, in milliseconds.
 const DEADLINE_MS_MAX: u64 = 24 * 3_600_000;
-/// The header that marks a request that must run at most once.
+/// Header with the key of a request that must run at most once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Longest idempotency key, in bytes.
 const KEY_BYTES_MAX: usize = 256;
 
-/// Answers callers.
+/// Handles the requests of callers.
 pub(crate) struct Callers {
     node: Arc<Node>,
 }
 
-/// What is sent to a backend server, and what the scheduler needs to know of it.
-struct Work {
+/// A request prepared for a backend server, with the facts that scheduling needs.
+struct PreparedRequest {
     service: Service,
-    /// What makes it the same as another attempt of its caller.
+    /// Identifies the request across the attempts of its caller.
     fingerprint: Fingerprint,
     path: String,
     prompt_tokens: u32,
@@ -60,8 +60,8 @@
     outgoing: HttpRequest,
 }
 
-/// What the caller's headers ask for.
-struct Terms {
+/// Options that the caller set by headers.
+struct CallerOptions {
     deadline: Option<Duration>,
     key: Option<String>,
 }
@@ -87,7 +87,7 @@
     async fn serve(&self, request: Request<Received>, mut call: Call) -> Response {
         let route = match route(&call.request) {
             Ok(route) => route,
-            Err(refused) => return refused.answer(request),
+            Err(error) => return error.into_response(request),
         };
         let Some(active) = self.node.active() else {
             let reason = Reason::new(Code::NotReady, "this host has no configuration yet");
@@ -98,16 +98,19 @@
             let reason = Reason::new(Code::Unauthorized, "the bearer key is missing or unknown");
             return answer::refusal(&request.refuse(self.node.unknown(reason)));
         };
-        let prepared = match &route {
-            Route::Models => return models(&active, &request.id),
-            Route::Completion(kind) => completion(&active, account, *kind, &mut call).await,
+        let outcome = match &route {
+            Route::Models => return list_models(&active, &request.id),
+            Route::Completion(kind) => prepare_completion(&active, account, *kind, &mut call).await,
             Route::Plain { service, path } => {
-                plain(&active, account, service, path, &mut call).await
+                prepare_plain(&active, account, service, path, &mut call).await
             }
         };
-        let terms = prepared.and_then(|work| Ok((work, terms(&call.request)?)));
-        match terms {
-            Ok((work, terms)) => self.admit(request, &active, account, work, terms).await,
+        let options = outcome.and_then(|prepared| Ok((prepared, caller_options(&call.request)?)));
+        match options {
+            Ok((prepared, options)) => {
+                self.admit(request, &active, account, prepared, options)
+                    .await
+            }
             Err(reason) if reason.code == Code::UnknownModel => {
                 answer::refusal(&request.refuse(self.node.unknown(reason)))
             }
@@ -115,22 +118,26 @@
         }
     }
 
-    /// Checks the account's limits, asks the policy, and lets the request wait.
+    /// Checks quarantine, account limits and policy, then runs the request.
     async fn admit(
         &self,
         request: Request<Received>,
         active: &Active,
         account: &Account,
-        work: Work,
-        terms: Terms,
+        prepared: PreparedRequest,
+        options: CallerOptions,
     ) -> Response {
-        if let Some(reason) = self.node.quarantine.refusal(|| work.fingerprint) {
+        if let Some(reason) = self.node.quarantine.refusal(|| prepared.fingerprint) {
             self.node.metrics.quarantine_refusals.inc();
             return answer::refusal(&request.duplicate(reason));
         }
-        let (rank, tier) = active.index.tier(account, &work.service.name, &work.path);
+        let (rank, tier) = active
+            .index
+            .tier(account, &prepared.service.name, &prepared.path);
         let arrived = request.arrived;
-        let tokens = work.prompt_tokens.saturating_add(work.answer_tokens);
+        let tokens = prepared
+            .prompt_tokens
+            .saturating_add(prepared.answer_tokens);
         let admitted = self.node.accounts.admit(&request.id, account, tokens).await;
         let charge = match admitted {
             Ok(charge) => charge,
@@ -141,25 +148,25 @@
             request.id.clone(),
             account.name.clone(),
             tier.name.clone(),
-            work.service.name.clone(),
+            prepared.service.name.clone(),
             arrived,
         );
         trace.charged(charge);
-        let allowed = terms
+        let allowed = options
             .deadline
             .unwrap_or(Duration::from_millis(tier.deadline_ms));
         let facts = policy::Request {
             account: account.name.clone(),
             tier: tier.name.clone(),
             tier_rank: rank,
-            service: work.service.name.clone(),
-            path: work.path.clone(),
-            prompt_tokens: work.prompt_tokens,
-            answer_tokens: work.answer_tokens,
+            service: prepared.service.name.clone(),
+            path: prepared.path.clone(),
+            prompt_tokens: prepared.prompt_tokens,
+            answer_tokens: prepared.answer_tokens,
             deadline_ms: millis(allowed),
-            stream: work.stream,
+            stream: prepared.stream,
         };
-        let priority = match verdict(&self.node, active, &work.service, &facts) {
+        let priority = match verdict(&self.node, active, &prepared.service, &facts) {
             Verdict::Wait { priority } => priority,
             Verdict::Refuse { why } => {
                 let reason = Reason::new(Code::RefusedByPolicy, why);
@@ -168,14 +175,14 @@
             }
         };
         let wish = Wish {
-            pool: self.node.rollouts.pool(&work.service.name),
-            service: work.service.name,
+            pool: self.node.rollouts.pool(&prepared.service.name),
+            service: prepared.service.name,
             rank,
             priority,
-            prompt_tokens: work.prompt_tokens,
+            prompt_tokens: prepared.prompt_tokens,
             arrived,
             deadline: arrived + allowed,
-            due: arrived + due_within(tier, allowed),
+            due: arrived + first_token_due(tier, allowed),
             first_token: Duration::from_millis(tier.first_token_ms),
             pause: Duration::ZERO,
             answer_tokens: 0,
@@ -189,11 +196,11 @@
             request: request.wait(),
             trace,
             wish,
-            outgoing: work.outgoing,
-            stream: work.stream,
-            key: terms.key,
-            fingerprint: work.fingerprint,
-            path: work.path,
+            outgoing: prepared.outgoing,
+            stream: prepared.stream,
+            key: options.key,
+            fingerprint: prepared.fingerprint,
+            path: prepared.path,
         };
         dispatch::run(&self.node, job).await
     }
@@ -209,7 +216,7 @@
     }
 }
 
-fn models(active: &Active, request_id: &str) -> Response {
+fn list_models(active: &Active, request_id: &str) -> Response {
     let services = active.index.fleet.services.iter();
     let data = services
         .filter(|service| service.kind == Kind::Model)
@@ -228,25 +235,25 @@
     response
 }
 
-/// Prepares a completion call.
-async fn completion(
+/// Prepares a completion request.
+async fn prepare_completion(
     active: &Active,
     account: &Account,
     kind: Completion,
     call: &mut Call,
-) -> Result<Work, Reason> {
+) -> Result<PreparedRequest, Reason> {
     let body = call.body().await?;
     let fingerprint = fingerprint(account, &call.request, &body);
     let prompt = Prompt::parse(kind, &body)
         .map_err(|error| Reason::new(Code::BadRequest, error.to_string()))?;
-    let service = find(active, &prompt.model, Kind::Model)?;
+    let service = find_service(active, &prompt.model, Kind::Model)?;
     let mut outgoing = HttpRequest::new(Method::Post, call.request.url().clone());
     outgoing.set_body(body);
     outgoing.insert_header(CONTENT_TYPE, "application/json");
     if let Some(key) = call.request.header(IDEMPOTENCY_KEY) {
         outgoing.insert_header(IDEMPOTENCY_KEY, key);
     }
-    Ok(Work {
+    Ok(PreparedRequest {
         service,
         fingerprint,
         path: String::new(),
@@ -257,15 +264,15 @@
     })
 }
 
-/// Prepares a call to a plain service.
-async fn plain(
+/// Prepares a request to a plain service.
+async fn prepare_plain(
     active: &Active,
     account: &Account,
     service: &str,
     path: &str,
     call: &mut Call,
-) -> Result<Work, Reason> {
-    let service = find(active, service, Kind::Plain)?;
+) -> Result<PreparedRequest, Reason> {
+    let service = find_service(active, service, Kind::Plain)?;
     let body = call.body().await?;
     let fingerprint = fingerprint(account, &call.request, &body);
     let mut url: Url = call.request.url().clone();
@@ -276,13 +283,13 @@
     }
     outgoing.remove_header(CONTENT_TYPE);
     for (name, values) in &call.request {
-        let own = *name == AUTHORIZATION || *name == "host" || *name == DEADLINE;
-        if !own && is_passed_on(name) {
+        let is_consumed = *name == AUTHORIZATION || *name == "host" || *name == DEADLINE;
+        if !is_consumed && is_forwarded(name) {
             outgoing.insert_header(name, values);
         }
     }
     let path = path.to_owned();
-    Ok(Work {
+    Ok(PreparedRequest {
         service,
         fingerprint,
         path,
@@ -293,7 +300,8 @@
     })
 }
 
-/// What makes a request the same as another attempt of its caller; all hosts that callers name here are one.
+/// Computes what identifies a request across the attempts of its caller. Callers of this listener reach the same
+/// service under any host name, so the name is left out.
 fn fingerprint(account: &Account, request: &HttpRequest, body: &[u8]) -> Fingerprint {
     let url = request.url();
     Fingerprint::of(&Identity {
@@ -305,7 +313,7 @@
     })
 }
 
-fn find(active: &Active, name: &str, kind: Kind) -> Result<Service, Reason> {
+fn find_service(active: &Active, name: &str, kind: Kind) -> Result<Service, Reason> {
     let service = active
         .index
         .service(name)
@@ -319,7 +327,7 @@
     service.cloned().ok_or_else(unknown)
 }
 
-fn terms(request: &HttpRequest) -> Result<Terms, Reason> {
+fn caller_options(request: &HttpRequest) -> Result<CallerOptions, Reason> {
     let deadline = match header(request, DEADLINE) {
         None => None,
         Some(text) => {
@@ -341,11 +349,11 @@
         let message = format!("{IDEMPOTENCY_KEY}: 1 to {KEY_BYTES_MAX} bytes allowed");
         return Err(Reason::new(Code::BadRequest, message));
     }
-    Ok(Terms { deadline, key })
+    Ok(CallerOptions { deadline, key })
 }
 
-/// How long after its arrival the first token of a request is still of use.
-fn due_within(tier: &Tier, allowed: Duration) -> Duration {
+/// Returns how long after the request's arrival its first token is still useful.
+fn first_token_due(tier: &Tier, allowed: Duration) -> Duration {
     if tier.refuse_late {
         return allowed.min(Duration::from_millis(tier.first_token_ms));
     }
--- a/cypressvane/src/transport/callers/relay.rs
+++ b/cypressvane/src/transport/callers/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a streamed answer on, each chunk as it comes.
+//! Relays a streamed answer chunk by chunk.
 
 use std::io;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use http_types::{Body, Response};
 
 use super::dispatch::backend_reason;
-use super::sent::Sent;
+use super::sent::SentRequest;
 use crate::coordination::pool::End;
 use crate::protocol::refusal::Reason;
 use crate::protocol::request::{Dispatched, Request};
@@ -20,16 +20,16 @@
 use crate::transport::runtime::within;
 use crate::transport::trace::{ANSWERED, Trace};
 
-/// Bytes of a stream read at once.
+/// Size of a read of a stream, in bytes.
 const READ_BYTES: usize = 4 * 1024;
-/// What ends an event.
+/// Terminator of an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// The event that ends a whole stream.
+/// The event that ends a complete stream.
 const LAST_EVENT: &[u8] = b"data: [DONE]";
-/// Bytes at the end of a stream in which the last event is looked for.
+/// Number of trailing bytes of a stream that are searched for the last event.
 const TAIL_BYTES: usize = 32;
 
-/// How long a stream may take.
+/// Time limits of a stream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
     /// Longest time without a byte.
@@ -38,28 +38,28 @@
     pub(crate) deadline: Instant,
 }
 
-/// A stream under way.
+/// A stream that is being relayed.
 struct Relay {
     request: Request<Dispatched>,
     response: Response,
-    sent: Sent,
+    sent: SentRequest,
     /// Taken when the stream ends.
     place: Option<Place>,
     trace: Trace,
     limits: Limits,
-    /// When the last chunk came; `None` before the first.
-    last: Option<Instant>,
+    /// When the last chunk arrived; `None` before the first.
+    last_chunk_at: Option<Instant>,
     tail: Vec<u8>,
 }
 
-/// The answer that passes on the stream in `response`.
+/// Builds the response that relays the stream in `response`.
 pub(crate) fn stream(
     request: Request<Dispatched>,
     response: Response,
     place: Place,
     trace: Trace,
     limits: Limits,
-    sent: Sent,
+    sent: SentRequest,
 ) -> Response {
     let mut answer = answer::plain(200, Vec::new());
     answer.insert_header(CONTENT_TYPE, "text/event-stream");
@@ -72,7 +72,7 @@
         place: Some(place),
         trace,
         limits,
-        last: None,
+        last_chunk_at: None,
         tail: Vec::new(),
     };
     let chunks = stream::unfold(relay, |relay| async {
@@ -86,30 +86,30 @@
 }
 
 impl Relay {
-    /// The next chunk, or the event that says why there is none; `None` at the end.
+    /// Returns the next chunk, or an error event if the stream failed; `None` at the end.
     async fn next(mut self) -> Option<(Vec<u8>, Self)> {
         self.place.as_ref()?;
-        match self.read().await {
+        match self.read_chunk().await {
             Ok(Some(chunk)) => {
-                self.note(&chunk);
+                self.record_chunk(&chunk);
                 Some((chunk, self))
             }
             Ok(None) => {
                 self.end(End::Whole, ANSWERED);
-                self.sent.answered();
+                self.sent.record_success();
                 None
             }
             Err(error) => {
                 let reason = backend_reason(&error);
                 self.end(End::Broken, reason.code.text());
-                self.sent.examine(&error);
+                self.sent.check_server_ended(&error);
                 Some((self.error_event(reason), self))
             }
         }
     }
 
-    /// Reads a chunk; `None` at the end of a whole stream.
-    async fn read(&mut self) -> Result<Option<Vec<u8>>, Error> {
+    /// Reads a chunk; `None` at the end of a complete stream.
+    async fn read_chunk(&mut self) -> Result<Option<Vec<u8>>, Error> {
         let address = self.sent.address;
         let left = self
             .limits
@@ -140,11 +140,11 @@
         })
     }
 
-    /// Counts a chunk and keeps the end of the stream.
-    fn note(&mut self, chunk: &[u8]) {
+    /// Records the timing and events of a chunk, and keeps the last bytes of the stream.
+    fn record_chunk(&mut self, chunk: &[u8]) {
         let now = Instant::now();
         let times = &self.trace.times;
-        match self.last {
+        match self.last_chunk_at {
             None => {
                 let since = now.saturating_duration_since(self.trace.arrived);
                 times.first_token.observe(since.as_secs_f64());
@@ -157,7 +157,7 @@
                 times.between_tokens.observe(since.as_secs_f64());
             }
         }
-        self.last = Some(now);
+        self.last_chunk_at = Some(now);
         let events = memchr::memmem::find_iter(chunk, EVENT_END).count();
         self.trace.count_tokens(events as u64);
         self.tail
@@ -173,7 +173,7 @@
         self.trace.end(outcome);
     }
 
-    /// The event that tells the caller that the answer is not whole.
+    /// Builds the event that tells the caller that the answer is incomplete.
     fn error_event(&self, reason: Reason) -> Vec<u8> {
         let body = self.request.fail(reason).body();
         let body = serde_json::to_string(&body).expect("plain values have a JSON form");
--- a/cypressvane/src/transport/callers/route.rs
+++ b/cypressvane/src/transport/callers/route.rs
@@ -1,4 +1,4 @@
-//! What a caller's path and method ask for.
+//! Routing of callers' requests by path and method.
 
 use http_types::headers::ALLOW;
 use http_types::{Method, Request as HttpRequest, Response};
@@ -8,31 +8,31 @@
 use crate::protocol::request::{Received, Request};
 use crate::transport::http::answer;
 
-/// The list of models.
+/// Path of the list of models.
 const MODELS_PATH: &str = "/v1/models";
-/// Text completion.
+/// Path of text completion.
 const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Chat completion.
+/// Path of chat completion.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Where plain services begin.
+/// Path prefix of plain services.
 const SERVICES_PREFIX: &str = "/services/";
 
-/// What a path asks for.
+/// What a request asks for.
 pub(crate) enum Route {
     Models,
     Completion(Completion),
     Plain { service: String, path: String },
 }
 
-/// A request that its path or method refuses.
-pub(crate) struct Refused {
+/// A request whose path or method is not served.
+pub(crate) struct RouteError {
     reason: Reason,
     allow: Option<&'static str>,
 }
 
-impl Refused {
-    /// The answer that says so.
-    pub(crate) fn answer(self, request: Request<Received>) -> Response {
+impl RouteError {
+    /// Builds the response, with an `Allow` header for a wrong method.
+    pub(crate) fn into_response(self, request: Request<Received>) -> Response {
         let mut response = answer::refusal(&request.refuse(self.reason));
         if let Some(allow) = self.allow {
             response.insert_header(ALLOW, allow);
@@ -41,11 +41,11 @@
     }
 }
 
-/// Finds out what a request asks for.
+/// Finds what a request asks for.
 ///
 /// # Errors
-/// When there is no such path, or not with this method.
-pub(crate) fn route(request: &HttpRequest) -> Result<Route, Refused> {
+/// When the path does not exist or does not allow the method.
+pub(crate) fn route(request: &HttpRequest) -> Result<Route, RouteError> {
     let path = request.url().path();
     let method = request.method();
     let only = |allowed: Method, route: Route| {
@@ -54,7 +54,7 @@
         }
         let message = format!("{path} takes {allowed} only");
         let reason = Reason::new(Code::MethodNotAllowed, message);
-        Err(Refused {
+        Err(RouteError {
             reason,
             allow: Some(if allowed == Method::Get {
                 "GET"
@@ -74,7 +74,7 @@
         .filter(|rest| !rest.is_empty());
     let Some(rest) = plain else {
         let reason = Reason::new(Code::NotFound, format!("no such path: {path}"));
-        return Err(Refused {
+        return Err(RouteError {
             reason,
             allow: None,
         });
--- a/cypressvane/src/transport/callers/sent.rs
+++ b/cypressvane/src/transport/callers/sent.rs
@@ -1,4 +1,4 @@
-//! What was sent to a backend server, for what its end says of the request.
+//! Attributes the end of a backend server to the request that was sent to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,12 +13,13 @@
 use crate::transport::quarantine::Ended;
 use crate::transport::runtime::spawn;
 
-/// How long a server that broke an answer off may take to stop listening; nobody waits for it.
-const SETTLE: Duration = Duration::from_millis(500);
+/// How long a server that broke an answer off may take to stop listening. The check runs in the background, so no
+/// caller waits for it.
+const EXIT_WAIT: Duration = Duration::from_millis(500);
 
 /// A request that was sent to a backend server.
 #[derive(Clone)]
-pub(super) struct Sent {
+pub(super) struct SentRequest {
     pub(super) node: Arc<Node>,
     pub(super) request_id: String,
     pub(super) account: Name,
@@ -29,18 +30,18 @@
     pub(super) at: Instant,
 }
 
-impl Sent {
-    /// Finds out, beside what the caller is told, whether the server that broke an answer off has ended.
-    pub(super) fn examine(&self, error: &Error) {
+impl SentRequest {
+    /// Checks in the background whether the server that broke an answer off has ended.
+    pub(super) fn check_server_ended(&self, error: &Error) {
         if matches!(error, Error::Broken { .. }) {
             let sent = self.clone();
-            spawn(async move { sent.examine_server().await }).detach();
+            spawn(async move { sent.record_if_ended().await }).detach();
         }
     }
 
-    /// Takes in that the server has ended, which speaks against the request, if it has.
-    async fn examine_server(&self) {
-        if !backend::has_ended(self.address, SETTLE).await {
+    /// Records against the request that the server ended, if it did.
+    async fn record_if_ended(&self) {
+        if !backend::has_ended(self.address, EXIT_WAIT).await {
             return;
         }
         let ended = Ended {
@@ -55,8 +56,8 @@
         node.quarantine.ended(&node.metrics, &ended, Instant::now());
     }
 
-    /// Notes that the request was answered whole.
-    pub(super) fn answered(&self) {
+    /// Records that the request was answered completely, which clears it of suspicion.
+    pub(super) fn record_success(&self) {
         let fingerprint = || self.fingerprint;
         self.node.quarantine.answered(fingerprint, Instant::now());
     }
