--- a/cypressvane/src/coordination/admission/forecast.rs
+++ b/cypressvane/src/coordination/admission/forecast.rs
@@ -1,26 +1,28 @@
-//! When a waiting request is likely to have its turn.
+//! Forecasts when a waiting offer will be granted.
 
 use std::time::Duration;
 
 use crate::state::clock::Instant;
 use crate::state::units::real;
 
-/// Grants a second below which the pace tells nothing: one in the span's last few seconds.
-const RATE_KNOWN: f64 = 0.1;
+/// Grants per second below which no forecast is made: about one grant in the last few seconds.
+const GRANT_RATE_MIN: f64 = 0.1;
 
-/// How fast a pool grants.
+/// Exponential moving average of a pool's grants per second.
 #[derive(Debug)]
-pub(crate) struct Pace {
-    /// Time over which grants are averaged.
+pub(crate) struct GrantRate {
+    /// Time constant of the average.
     span: Duration,
-    /// Grants a second, averaged.
+    /// Grants per second at `at`.
     rate: f64,
+    /// Time of the last grant.
     at: Option<Instant>,
 }
 
-impl Pace {
-    /// A pace averaged over `span`: long against the time between grants, short against a rush.
-    pub(crate) fn over(span: Duration) -> Self {
+impl GrantRate {
+    /// Creates an average over `span`, which must be long compared with the time between grants and short compared
+    /// with a load peak.
+    pub(crate) fn new(span: Duration) -> Self {
         Self {
             span,
             rate: 0.0,
@@ -28,13 +30,13 @@
         }
     }
 
-    /// Counts a grant.
-    pub(crate) fn grant(&mut self, now: Instant) {
+    /// Records a grant.
+    pub(crate) fn note_grant(&mut self, now: Instant) {
         self.rate = self.rate(now) + 1.0 / self.span.as_secs_f64();
         self.at = Some(now);
     }
 
-    /// Grants a second.
+    /// Grants per second at `now`.
     pub(crate) fn rate(&self, now: Instant) -> f64 {
         let passed = self
             .at
@@ -42,10 +44,11 @@
         self.rate * (-passed.as_secs_f64() / self.span.as_secs_f64()).exp()
     }
 
-    /// Time until the turn of a request with `ahead` others before it; `None` when nothing was
-    /// granted lately.
+    /// Time until an offer with `ahead` others before it is granted; `None` if there were too few recent grants to
+    /// tell.
     pub(crate) fn wait(&self, ahead: usize, now: Instant) -> Option<Duration> {
         let rate = self.rate(now);
-        (rate >= RATE_KNOWN).then(|| Duration::from_secs_f64((real(ahead as u64) / rate).min(1e6)))
+        (rate >= GRANT_RATE_MIN)
+            .then(|| Duration::from_secs_f64((real(ahead as u64) / rate).min(1e6)))
     }
 }
--- a/cypressvane/src/coordination/admission/mod.rs
+++ b/cypressvane/src/coordination/admission/mod.rs
@@ -1,7 +1,8 @@
-//! Whether a request that is worth little when it is late goes on waiting, and for how long.
+//! Admission control for early-refusal requests, which are worth little when they are late.
 //!
-//! It waits while the forecast has its first token on time. When that turns, it gets a place that is
-//! idle, or is refused at once. One that comes back after a refusal waits behind all that are on time.
+//! Such a request waits while its first token is forecast to arrive on time. Otherwise it is late: it gets an idle
+//! slot, or is refused at once. A request that is retried after a refusal is late from the start, so it waits behind
+//! all on-time requests.
 
 mod forecast;
 mod returns;
@@ -10,7 +11,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use crate::coordination::admission::forecast::Pace;
+use crate::coordination::admission::forecast::GrantRate;
 use crate::coordination::admission::returns::Returns;
 use crate::coordination::estimate::Estimate;
 use crate::coordination::offer::Offer;
@@ -18,61 +19,65 @@
 use crate::state::reason::{Code, Reason};
 use crate::state::units::millis_since;
 
-/// Time over which grants are averaged: long against the time between grants, short against a rush.
-const SPAN: Duration = Duration::from_secs(1);
-/// Time over which grants to late requests are averaged: longer than a rush, after which places are
-/// idle again.
-const SPARE_SPAN: Duration = Duration::from_secs(4);
-/// Time from an offer's grant to its sending and back that no server's answer shows: the way of the
-/// grant, of the connection and of the first token.
-const WAY: Duration = Duration::from_millis(15);
+/// Time over which grants to on-time offers are averaged: long compared with the time between grants, short compared
+/// with a load peak.
+const ON_TIME_SPAN: Duration = Duration::from_secs(1);
+/// Time over which grants to late offers are averaged: longer than a load peak, after which slots are idle again.
+const LATE_SPAN: Duration = Duration::from_secs(4);
+/// Time between a grant and its first token that the servers' own times do not include: the grant message, the
+/// connection to the server, and the first token's transfer.
+const DISPATCH_OVERHEAD: Duration = Duration::from_millis(15);
 
-/// Most kinds of request whose running times are learnt; a policy may give any word.
+/// Maximum number of request kinds whose running times are tracked, since a policy may return any priority.
 const KINDS_MAX: usize = 256;
 
-/// What decides over the offers of a pool.
+/// Admission control for the offers of a pool.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    /// Grants to offers on time.
-    on_time: Pace,
-    /// Grants to late offers, which take what is idle.
-    spare: Pace,
+    /// Grants to on-time offers.
+    on_time_rate: GrantRate,
+    /// Grants to late offers, which get idle slots.
+    late_rate: GrantRate,
     returns: Returns,
-    /// How long requests of a tier and word run, in seconds.
-    runs: HashMap<Kind, Estimate>,
+    /// Running time of each kind of request, in seconds.
+    run_times: HashMap<Kind, Estimate>,
 }
 
 impl Default for Admission {
     fn default() -> Self {
         Self {
-            on_time: Pace::over(SPAN),
-            spare: Pace::over(SPARE_SPAN),
+            on_time_rate: GrantRate::new(ON_TIME_SPAN),
+            late_rate: GrantRate::new(LATE_SPAN),
             returns: Returns::default(),
-            runs: HashMap::new(),
+            run_times: HashMap::new(),
         }
     }
 }
 
 impl Admission {
-    /// Takes in an offer: one that was refused before and comes back is late.
-    pub(crate) fn meet(&mut self, offer: &mut Offer, now: Instant) {
+    /// Marks an offer as returning and late if its request was refused recently.
+    pub(crate) fn mark_returning(&mut self, offer: &mut Offer, now: Instant) {
         if self.returns.take(offer.mark, now) {
             offer.late = true;
             offer.returning = true;
         }
     }
 
-    /// Until when a late offer may wait and still have its whole answer.
-    pub(crate) fn late_until(&self, offer: &Offer, fastest: Option<Duration>) -> Instant {
-        let runs = self.runs.get(&Kind::of(offer)).and_then(Estimate::mean);
+    /// Latest time for granting a late offer that still leaves time for its whole answer.
+    pub(crate) fn latest_late_grant(&self, offer: &Offer, fastest: Option<Duration>) -> Instant {
+        let runs = self
+            .run_times
+            .get(&Kind::of(offer))
+            .and_then(Estimate::mean);
         let runs = Duration::from_secs_f64(runs.unwrap_or_default().max(0.0));
-        let first = fastest.unwrap_or_default() + WAY;
+        let first = fastest.unwrap_or_default() + DISPATCH_OVERHEAD;
         before(offer.deadline, first).min(before(offer.whole_by, first + runs))
     }
 
-    /// Whether an offer with `ahead` others before it is likely to have its turn by then; `paced` is what the servers'
-    /// limits make it wait at least.
-    pub(crate) fn comes_by(
+    /// Whether an on-time offer with `ahead` others before it is likely to be granted by `until`.
+    ///
+    /// `paced` is the minimum wait imposed by the servers' limits.
+    pub(crate) fn is_likely_by(
         &self,
         ahead: usize,
         paced: Option<Duration>,
@@ -82,87 +87,91 @@
         if now > until {
             return false;
         }
-        let wait = self.on_time.wait(ahead, now).max(paced);
+        let wait = self.on_time_rate.wait(ahead, now).max(paced);
         wait.is_none_or(|wait| now + wait <= until)
     }
 
-    /// Whether a late offer with `ahead` others before it goes on waiting for an idle place until then.
+    /// Whether a late offer with `ahead` others before it may wait for an idle slot until `until`.
     ///
-    /// The first one does, so that an idle place finds it. Another one does if it comes back, since its
-    /// caller would not come once more, and its turn is likely.
-    pub(crate) fn waits_late(
+    /// The first one may, so that an idle slot is used at once. Another one may if it is returning, since its caller
+    /// would not retry again, and if it is likely to be granted by `until`.
+    pub(crate) fn may_wait_late(
         &self,
         offer: &Offer,
         ahead: usize,
         until: Instant,
         now: Instant,
     ) -> bool {
-        let wait = self.spare.wait(ahead, now);
+        let wait = self.late_rate.wait(ahead, now);
         let is_likely = wait.is_some_and(|wait| now + wait <= until);
         now <= until && (ahead == 0 || offer.returning && is_likely)
     }
 
-    /// Counts a grant.
-    pub(crate) fn granted(&mut self, offer: &Offer, now: Instant) {
+    /// Records a grant.
+    pub(crate) fn note_grant(&mut self, offer: &Offer, now: Instant) {
         if offer.late {
-            self.spare.grant(now);
+            self.late_rate.note_grant(now);
         } else {
-            self.on_time.grant(now);
+            self.on_time_rate.note_grant(now);
         }
     }
 
-    /// Learns how long a request ran that was answered whole.
-    pub(crate) fn ran(&mut self, kind: Kind, time: Duration) {
-        if self.runs.len() < KINDS_MAX || self.runs.contains_key(&kind) {
-            self.runs.entry(kind).or_default().learn(time.as_secs_f64());
+    /// Records the running time of a request that got a whole answer.
+    pub(crate) fn note_run_time(&mut self, kind: Kind, time: Duration) {
+        if self.run_times.len() < KINDS_MAX || self.run_times.contains_key(&kind) {
+            self.run_times
+                .entry(kind)
+                .or_default()
+                .learn(time.as_secs_f64());
         }
     }
 
-    /// When the caller of a refused offer is to come back.
-    pub(crate) fn come_back(&mut self, offer: &Offer, now: Instant) -> Duration {
-        self.returns.book(offer, &self.spare, now)
+    /// Time after which the caller of a refused offer should retry.
+    pub(crate) fn book_return(&mut self, offer: &Offer, now: Instant) -> Duration {
+        self.returns.book(offer, &self.late_rate, now)
     }
 
-    /// Why an offer is refused that is not likely to have its turn while it is of use.
+    /// The reason for refusing an offer that is unlikely to be granted in time.
     ///
-    /// `limits` is what the servers take a second, where their limits allow no more.
-    pub(crate) fn refuse(
+    /// `limits` is the number of requests per second that the servers' limits allow; `None` if a server that accepts
+    /// requests has no limit, or none accepts requests.
+    pub(crate) fn refusal(
         &mut self,
         offer: &Offer,
         ahead: usize,
         limits: Option<f64>,
         now: Instant,
     ) -> Reason {
-        let (pace, what) = if offer.late {
-            (&self.spare, "find an idle place")
+        let (rate, what) = if offer.late {
+            (&self.late_rate, "find an idle place")
         } else {
-            (&self.on_time, "have their turn")
+            (&self.on_time_rate, "have their turn")
         };
         let mut message = format!(
             "{ahead} go before it and {:.1} a second {what}; it has waited for {} ms and its caller leaves in {} ms",
-            pace.rate(now),
+            rate.rate(now),
             millis_since(offer.arrived, now),
             millis_since(now, offer.deadline),
         );
         if let Some(limits) = limits {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(message, "; its servers take {limits:.1} requests a second");
         }
-        let wait = self.come_back(offer, now);
+        let wait = self.book_return(offer, now);
         Reason::later(Code::DeadlineUnreachable, message, wait)
     }
 }
 
-/// Until when an offer may wait and still have its first token on time.
-pub(crate) fn on_time_until(offer: &Offer, fastest: Option<Duration>) -> Instant {
-    before(offer.due(), fastest.unwrap_or_default() + WAY)
+/// Latest time for granting an offer so that its first token arrives on time.
+pub(crate) fn latest_on_time_grant(offer: &Offer, fastest: Option<Duration>) -> Instant {
+    before(offer.due(), fastest.unwrap_or_default() + DISPATCH_OVERHEAD)
 }
 
-/// What requests that run for about as long have in common.
+/// A class of requests with similar running times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Kind {
     rank: usize,
-    word: i64,
+    priority: i64,
 }
 
 impl Kind {
@@ -170,7 +179,7 @@
     pub(crate) fn of(offer: &Offer) -> Self {
         Self {
             rank: offer.rank,
-            word: offer.priority,
+            priority: offer.priority,
         }
     }
 }
--- a/cypressvane/src/coordination/demand.rs
+++ b/cypressvane/src/coordination/demand.rs
@@ -1,71 +1,71 @@
-//! How much each tier asks of a pool, so that lower tiers leave room for higher ones.
+//! Demand of each tier on a pool, so that lower tiers leave capacity for higher ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::state::clock::Instant;
 
-/// Time over which demand is averaged.
-const SPAN: Duration = Duration::from_secs(5);
-/// Demand, in prompt tokens a second, below which a tier counts as absent.
-const ABSENT: f64 = 1.0;
+/// Time constant of the demand average.
+const AVERAGING_TIME: Duration = Duration::from_secs(5);
+/// Demand, in prompt tokens per second, below which a tier is ignored.
+const TIER_RATE_MIN: f64 = 1.0;
 
 /// The demand of one tier.
 #[derive(Clone, Copy, Debug)]
-struct Flow {
-    /// Prompt tokens a second, averaged.
+struct TierDemand {
+    /// Exponential moving average of prompt tokens per second at `at`.
     rate: f64,
     at: Instant,
-    /// Promised time to the first token, as last offered.
+    /// Promised time to the first token of the latest offer.
     first_token: Duration,
 }
 
-impl Flow {
+impl TierDemand {
     fn rate_at(&self, now: Instant) -> f64 {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.rate * (-passed / SPAN.as_secs_f64()).exp()
+        self.rate * (-passed / AVERAGING_TIME.as_secs_f64()).exp()
     }
 }
 
-/// What the tiers above one ask for.
+/// Combined demand of the tiers above another one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Higher {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub(crate) rate: f64,
-    /// The shortest promised time to the first token.
+    /// Shortest promised time to the first token.
     pub(crate) first_token: Duration,
 }
 
-/// The demand of all tiers, by rank.
+/// Demand of all tiers, by rank.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
-    flows: BTreeMap<usize, Flow>,
+    tiers: BTreeMap<usize, TierDemand>,
 }
 
 impl Demand {
-    /// Counts an offer.
+    /// Adds an offer's prompt tokens to its tier's demand.
     pub(crate) fn add(&mut self, rank: usize, tokens: u32, first_token: Duration, now: Instant) {
-        let fresh = Flow {
+        let fresh = TierDemand {
             rate: 0.0,
             at: now,
             first_token,
         };
-        let flow = self.flows.entry(rank).or_insert(fresh);
-        let rate = flow.rate_at(now) + f64::from(tokens) / SPAN.as_secs_f64();
-        *flow = Flow {
+        let tier = self.tiers.entry(rank).or_insert(fresh);
+        let rate = tier.rate_at(now) + f64::from(tokens) / AVERAGING_TIME.as_secs_f64();
+        *tier = TierDemand {
             rate,
             at: now,
             first_token,
         };
     }
 
-    /// What the tiers above `rank` ask for; `None` when they ask for nothing.
+    /// Demand of the tiers above `rank`; `None` if they have none.
     pub(crate) fn above(&self, rank: usize, now: Instant) -> Option<Higher> {
-        let flows = self
-            .flows
+        let tiers = self
+            .tiers
             .range(..rank)
-            .map(|(_, flow)| (flow.rate_at(now), flow.first_token));
-        let present = flows.filter(|(rate, _)| *rate >= ABSENT);
+            .map(|(_, tier)| (tier.rate_at(now), tier.first_token));
+        let present = tiers.filter(|(rate, _)| *rate >= TIER_RATE_MIN);
         present.fold(None, |higher: Option<Higher>, (rate, first_token)| {
             let higher = higher.unwrap_or(Higher {
                 rate: 0.0,
--- a/cypressvane/src/coordination/dump.rs
+++ b/cypressvane/src/coordination/dump.rs
@@ -1,4 +1,4 @@
-//! What the home of a pool tells of it in a state dump.
+//! State dump of a pool, as given by its home.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,12 +15,12 @@
     /// How many shards the service has.
     #[serde(default)]
     pub shards: u16,
-    /// Whether the host is its home now; one that was keeps what it has learnt.
+    /// Whether the host is its home now; a former home keeps the pool's estimates.
     #[serde(default)]
     pub home: bool,
     /// Waiting requests by tier rank.
     pub waiting: Vec<Waiting>,
-    /// Prompt tokens that wait.
+    /// Waiting prompt tokens.
     pub waiting_tokens: u64,
     /// Its backend servers.
     pub servers: Vec<Server>,
@@ -33,41 +33,41 @@
     pub rank: usize,
     /// Requests.
     pub requests: u64,
-    /// How long the oldest has waited, in milliseconds.
+    /// Waiting time of the oldest request, in milliseconds.
     pub oldest_ms: u64,
 }
 
-/// What a home believes of a backend server.
+/// A home's view of a backend server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Server {
     /// Its name in the host list.
     pub name: Name,
     /// `live`, `leaving`, `trial` or `down`.
     pub state: String,
-    /// Milliseconds since it is so.
+    /// Milliseconds since it entered that state.
     pub since_ms: u64,
-    /// Requests that run there.
+    /// Requests running on it.
     pub running: u64,
-    /// Most requests that run there at once.
+    /// Maximum number of requests running at once.
     pub slots: u32,
-    /// Prompt tokens sent whose first answer token has not come.
+    /// Prompt tokens of the running requests that have no first token yet.
     pub backlog_tokens: u64,
-    /// Learnt prompt tokens a second.
+    /// Estimated prefill rate, in prompt tokens per second.
     pub prefill_rate: f64,
-    /// Learnt time to the first token of the shortest prompt, in milliseconds.
+    /// Estimated time to the first token of the shortest prompt, in milliseconds.
     pub first_token_ms: u64,
-    /// The limit that it names in its answers, where it does.
+    /// The limit named in its answers, if any.
     #[serde(default)]
     pub limit: Option<Limit>,
 }
 
-/// How many requests a second a backend server takes, as it says.
+/// Request rate limit that a backend server names in its answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Limit {
-    /// Requests a second, from all hosts together.
+    /// Requests per second, from all hosts together.
     pub per_second: f64,
-    /// Milliseconds since a limit is known of it.
+    /// Milliseconds since the server first had a limit, whatever its value.
     pub since_ms: u64,
-    /// The host that heard this value.
+    /// The host that received this value.
     pub heard_by: Name,
 }
--- a/cypressvane/src/coordination/estimate.rs
+++ b/cypressvane/src/coordination/estimate.rs
@@ -1,36 +1,36 @@
-//! A quantity that is learnt from what is seen of it: its mean, and how far it strays.
+//! Running estimate of a quantity: exponentially weighted mean and mean absolute deviation.
 
-/// Weight of the newest observation once there are many: some ten of them are remembered, which at a
-/// server's few requests a second is a second or two.
-const WEIGHT: f64 = 0.1;
+/// Weight of the newest observation once there are many. The estimate then covers about ten observations, which is a
+/// second or two at a server's few requests per second.
+const WEIGHT_MIN: f64 = 0.1;
 
-/// What is learnt of a quantity.
+/// Estimate of a quantity.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Estimate {
-    seen: u32,
+    observations: u32,
     mean: f64,
     deviation: f64,
 }
 
 impl Estimate {
-    /// Learns from one observation; the first ones count alike.
+    /// Adds an observation; the first ones are weighted equally.
     pub(crate) fn learn(&mut self, value: f64) {
-        self.seen = self.seen.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.seen));
+        self.observations = self.observations.saturating_add(1);
+        let weight = WEIGHT_MIN.max(1.0 / f64::from(self.observations));
         let off = value - self.mean;
         self.mean += weight * off;
-        if self.seen > 1 {
+        if self.observations > 1 {
             self.deviation += weight * (off.abs() - self.deviation);
         }
     }
 
-    /// The mean; `None` when nothing was seen.
+    /// The mean; `None` without observations.
     pub(crate) fn mean(&self) -> Option<f64> {
-        (self.seen > 0).then_some(self.mean)
+        (self.observations > 0).then_some(self.mean)
     }
 
-    /// What most observations stay under; `None` when nothing was seen.
+    /// Upper bound of most observations, the mean plus the mean absolute deviation; `None` without observations.
     pub(crate) fn high(&self) -> Option<f64> {
-        (self.seen > 0).then_some(self.mean + self.deviation)
+        (self.observations > 0).then_some(self.mean + self.deviation)
     }
 }
--- a/cypressvane/src/coordination/lease.rs
+++ b/cypressvane/src/coordination/lease.rs
@@ -1,19 +1,19 @@
-//! How long what was seen of the platform may be believed.
+//! How long an observation of the platform stays valid.
 
 use std::time::Duration;
 
 use crate::state::clock::Instant;
 
-/// A belief that has to be confirmed again and again.
+/// A lease on an observation, which must be renewed by confirmations.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lease {
-    /// How long a confirmation counts; `None` where it counts for ever.
+    /// How long a confirmation is valid; `None` if it never expires.
     length: Option<Duration>,
     confirmed: Option<Instant>,
 }
 
 impl Lease {
-    /// A lease on what nothing is known of yet.
+    /// Creates a lease that has not been confirmed.
     pub(crate) fn new(length: Option<Duration>) -> Self {
         Self {
             length,
@@ -21,18 +21,18 @@
         }
     }
 
-    /// Notes that the belief was right at `moment` or later.
+    /// Records that the observation was still valid at `moment` or later; confirmations may arrive out of order.
     pub(crate) fn confirm(&mut self, moment: Instant) {
         self.confirmed = self.confirmed.max(Some(moment));
     }
 
-    /// How long ago it was confirmed last; `None` if it never was.
+    /// Time since the last confirmation; `None` if there was none.
     pub(crate) fn age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.confirmed?;
         Some(now.saturating_duration_since(confirmed))
     }
 
-    /// Whether it may be believed at `now`.
+    /// Whether the lease is valid at `now`.
     pub(crate) fn holds(&self, now: Instant) -> bool {
         let Some(length) = self.length else {
             return true;
--- a/cypressvane/src/coordination/lease_tests.rs
+++ b/cypressvane/src/coordination/lease_tests.rs
@@ -1,17 +1,19 @@
+//! Validity of a lease over time, with timestamps supplied by the test.
+
 use std::time::Duration;
 
 use super::Lease;
 use crate::state::clock::Instant;
 
 #[test]
-fn a_lease_runs_on_whatever_its_holder_does() {
+fn a_lease_expires_unless_it_is_confirmed() {
     struct Case {
         name: &'static str,
         /// Length, in milliseconds.
         length: Option<u64>,
-        /// When it was confirmed.
+        /// Times of the confirmations, in milliseconds.
         confirmed: &'static [u64],
-        /// When it is asked about.
+        /// Time at which it is checked, in milliseconds.
         at: u64,
         holds: bool,
     }
--- a/cypressvane/src/coordination/mod.rs
+++ b/cypressvane/src/coordination/mod.rs
@@ -1,27 +1,27 @@
-//! Decisions, as plain values in and values out: no sockets, and time is an argument.
+//! Scheduling decisions as pure logic: no sockets, and the current time is an argument.
 //!
 //! | module | what it decides |
 //! | --- | --- |
-//! | `pool` | a pool's home: takes offers, gives grants and refusals; the others meet here |
-//! | `queue` | who goes before whom |
-//! | `admission` | who waits, who is late, who is refused, and when to come back |
-//! | `servers` | which server a request goes to |
-//! | `server` | what is believed of one server: health, speed, pauses |
-//! | `demand` | how much room lower tiers leave to higher ones |
-//! | `limit` | what an account may use |
-//! | `budget` | how often requests are sent once more |
-//! | `quarantine` | which requests are kept from the servers, since these end under them |
-//! | `rollout` | how many requests a new version of a service gets, and whether it is good |
-//! | `shard` | how a large pool is cut, and which shard a request is offered to |
-//! | `idle` | which other shard has places |
-//! | `answering` | which homes leave this host without a word |
+//! | `pool` | how a pool's home turns offers into grants and refusals; combines the modules below |
+//! | `queue` | the order of waiting offers |
+//! | `admission` | which offers wait, become late or are refused, and when refused callers retry |
+//! | `servers` | which server a request is granted |
+//! | `server` | the estimated state of one server: health, speed, pauses, limit |
+//! | `demand` | how much capacity lower tiers leave to higher ones |
+//! | `limit` | how much an account may use |
+//! | `budget` | how many requests a host may retry |
+//! | `quarantine` | which requests are sent to no server because servers ended while running them |
+//! | `rollout` | how many requests a new version of a service gets, and whether it is healthy |
+//! | `shard` | how a large pool is sharded, and which shard a request is offered to |
+//! | `idle` | which other shard has free slots |
+//! | `answering` | which homes do not reply to this host |
 //! | `home` | which host is the home of a pool or an account |
-//! | `lag` | how far a host is behind with its work |
-//! | `lapse` | whether a server that left the list is gone |
-//! | `lease` | how long what was seen of the platform is believed |
-//! | `backoff` | how long to rest after calls that failed |
-//! | `rest` | when such a rest ends, by what is learnt meanwhile |
-//! | `policy` | what the operators' programs say |
+//! | `lag` | how far a host is behind schedule |
+//! | `lapse` | whether a server that is missing from the host list is gone |
+//! | `lease` | how long an observation of the platform stays valid |
+//! | `backoff` | how long to wait after failed calls |
+//! | `rest` | when such a wait ends early |
+//! | `policy` | the results of the operators' policy programs |
 
 pub(crate) mod admission;
 pub(crate) mod answering;
--- a/cypressvane/src/coordination/offer.rs
+++ b/cypressvane/src/coordination/offer.rs
@@ -1,4 +1,4 @@
-//! What hosts and a pool's home tell each other of requests and servers, as values.
+//! Values that hosts and a pool's home exchange about requests and servers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,48 +22,48 @@
     pub sequence: u64,
 }
 
-/// A request that asks for a backend server.
+/// A request that waits for a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// Whose it is.
+    /// Identifies the request.
     pub ticket: Ticket,
     /// Tier rank; 0 is the highest.
     pub rank: usize,
-    /// The policy's word; a larger priority goes first within the tier.
+    /// Priority within the tier, derived from the policy; a larger one goes first.
     pub priority: i64,
     /// Estimated prompt tokens.
     pub prompt_tokens: u32,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When its first token is no more use.
+    /// Time after which its first token is useless.
     pub deadline: Instant,
-    /// Promised time to the first token.
+    /// Promised time from arrival to the first token.
     pub first_token: Duration,
-    /// Longest pause between the events of its answer that is on time; zero where there is no such
-    /// bound.
+    /// Longest acceptable pause between the events of its answer; zero if unbounded.
     pub pause: Duration,
-    /// How many tokens its answer is likely to have; 0 where nothing is known of it.
+    /// Expected number of answer tokens; 0 if unknown.
     pub answer_tokens: u32,
-    /// When its whole answer is no more use.
+    /// Time after which its whole answer is useless.
     pub whole_by: Instant,
-    /// The server that failed it, where one did.
+    /// The server that failed it, if any.
     pub avoid: Option<Name>,
-    /// Whether it is refused as soon as it is not likely to have its turn on time.
+    /// Whether it is refused as soon as it is unlikely to be granted on time.
     pub early: bool,
-    /// Whether it comes back after a refusal, or from a server that failed: it goes first then.
+    /// Whether it is retried after a refusal or a server failure; it then goes first, in the order given in `queue`.
     pub returning: bool,
-    /// Whether its first token will not come on time any more: it goes behind all that still may.
+    /// Whether its first token can no longer arrive on time; late offers go behind all on-time ones.
     pub late: bool,
-    /// Tells a request that comes back after a refusal; `None` where nothing does.
+    /// Identifies the request when it is retried after a refusal; `None` if it cannot be recognised.
     pub mark: Option<u64>,
-    /// What its prompt begins with, which a server that read it lately need not read again.
+    /// Identifies the beginning of its prompt, which a server that read it recently need not prefill again.
     pub opening: Option<u64>,
-    /// The data centre of its holder, where that is known.
+    /// The data centre of its holder, if known.
     pub data_centre: Option<Name>,
 }
 
 impl Offer {
-    /// When its first token is no more use, on time or at all.
+    /// Time by which its first token must arrive: the promised time for an on-time early-refusal offer, otherwise the
+    /// deadline.
     pub(crate) fn due(&self) -> Instant {
         if self.early && !self.late {
             return self.deadline.min(self.arrived + self.first_token);
@@ -71,7 +71,7 @@
         self.deadline
     }
 
-    /// What it would rather have, other things being equal.
+    /// Its preferences among servers that are otherwise equal.
     pub(crate) fn likes(&self) -> Likes {
         Likes {
             opening: self.opening,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// What it is for the server that runs it.
+    /// The load that it puts on a server.
     pub(crate) fn work(&self) -> Work {
         Work {
             prompt_tokens: self.prompt_tokens.into(),
@@ -90,20 +90,21 @@
     }
 }
 
-/// What the home tells a holder.
+/// A home's decision about an offer, sent to the holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The request may be sent to this server, once.
+    /// The request may be sent to this server once.
     Grant {
         /// The request.
         ticket: Ticket,
         /// The server.
         server: Name,
-        /// Where it answers.
+        /// Its address.
         address: SocketAddr,
         /// Forecast time to the first token.
         first_token: Duration,
-        /// Whether the home knows a limit of the server; the holder then reports also an answer without one, which ends it.
+        /// Whether the home knows a limit of the server. If so, the holder also reports an answer that names no limit,
+        /// since it lifts the limit.
         limited: bool,
     },
     /// The request is refused; it has not run.
@@ -115,39 +116,39 @@
     },
 }
 
-/// How a granted request ended, as its holder saw it.
+/// How a granted request ended, as reported by its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// The whole answer came.
+    /// The whole answer arrived.
     Whole,
     /// The caller gave up, or the grant was not used.
     Unused,
-    /// The answer broke off or never came.
+    /// The answer broke off or never arrived.
     Broken,
     /// The server accepted no connection.
     Unreachable,
-    /// The server said that it is leaving.
+    /// The server reported that it is leaving.
     Leaving,
-    /// The server had no room and did not run the request.
+    /// The server was full and did not run the request.
     Full,
-    /// Another server has its address and did not run the request.
+    /// Another server has taken over the address and did not run the request.
     Replaced,
 }
 
-/// A backend server as the host list and the configuration give it.
+/// A backend server as described by the host list and the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
     /// Its name in the host list.
     pub name: Name,
-    /// Where it answers.
+    /// Its address.
     pub address: SocketAddr,
-    /// Its data centre, where that is known.
+    /// Its data centre, if known.
     pub data_centre: Option<Name>,
-    /// Most requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// When it was started, by a clock of its own; `None` where it does not tell.
+    /// When it was started, in milliseconds of its own clock; `None` if it does not report this.
     pub started_ms: Option<u64>,
 }
--- a/cypressvane/src/coordination/pool/intake.rs
+++ b/cypressvane/src/coordination/pool/intake.rs
@@ -1,4 +1,4 @@
-//! Who waits in a pool's queue, and who is refused: on arrival, and when a forecast turns.
+//! Admission to a pool's queue: offers are queued or refused on arrival, and again when their forecast changes.
 
 use std::time::Duration;
 
@@ -9,42 +9,42 @@
 use crate::state::reason::{Code, Reason};
 use crate::state::units::real;
 
-/// Shortest wait that a refused caller is told.
-const RETRY_MIN: Duration = Duration::from_secs(1);
-/// Longest wait that a refused caller is told.
-const RETRY_MAX: Duration = Duration::from_secs(60);
+/// Minimum delay after which a refused caller is asked to retry.
+const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
+/// Maximum delay after which a refused caller is asked to retry.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
 impl Pool {
-    /// Lets an offer wait of which it is decided early, or refuses it.
+    /// Queues an early-refusal offer, on time or late, or refuses it.
     pub(super) fn admit(&mut self, mut offer: Offer, now: Instant) -> Option<Action> {
         let (queue, servers) = (&self.queue, &self.servers);
         let fastest = servers.fastest(offer.prompt_tokens.into());
         if !offer.late {
-            let until = admission::on_time_until(&offer, fastest);
+            let until = admission::latest_on_time_grant(&offer, fastest);
             let ahead = queue.ahead_of(&offer);
             let paced = servers.paced_wait(ahead, now);
-            if self.admission.comes_by(ahead, paced, until, now) {
+            if self.admission.is_likely_by(ahead, paced, until, now) {
                 self.queue.push(offer, until);
                 return None;
             }
             offer.late = true;
         }
-        let until = self.admission.late_until(&offer, fastest);
+        let until = self.admission.latest_late_grant(&offer, fastest);
         let ahead = queue.ahead_of(&offer);
-        if self.admission.waits_late(&offer, ahead, until, now) {
+        if self.admission.may_wait_late(&offer, ahead, until, now) {
             self.queue.push(offer, until);
             return None;
         }
         Some(self.refuse_early(offer, now))
     }
 
-    /// Lets an offer wait until its deadline.
-    pub(super) fn wait(&mut self, offer: Offer) {
+    /// Queues an offer until its deadline.
+    pub(super) fn enqueue(&mut self, offer: Offer) {
         let until = offer.deadline;
         self.queue.push(offer, until);
     }
 
-    /// Says why an offer cannot be met, where that is known on arrival.
+    /// Why an offer cannot meet its deadline; `None` if it may.
     pub(super) fn unreachable(
         &self,
         offer: &Offer,
@@ -63,38 +63,39 @@
         Some(Reason::later(
             Code::DeadlineUnreachable,
             message,
-            told_wait(ahead + soonest),
+            clamp_retry_after(ahead + soonest),
         ))
     }
 
-    /// Refuses an offer that no server could take.
+    /// Refuses an offer because the pool has no servers, or only leaving ones.
     pub(super) fn refuse_without_server(&mut self, offer: Offer, now: Instant) -> Action {
         let message = format!("no backend server of {} takes work", self.service);
-        let wait = self.comes_back_in(&offer, RETRY_MIN, now);
+        let wait = self.retry_after(&offer, RETRY_AFTER_MIN, now);
         refuse(offer, Reason::later(Code::NoServer, message, wait))
     }
 
-    /// What the caller of a refused offer is told to wait: by forecast where it is decided early, which
-    /// also remembers it as refused.
-    fn comes_back_in(&mut self, offer: &Offer, otherwise: Duration, now: Instant) -> Duration {
+    /// Time after which the caller of a refused offer should retry.
+    ///
+    /// For an early-refusal offer this is forecast, and the refusal is remembered; for others it is `default`.
+    fn retry_after(&mut self, offer: &Offer, default: Duration, now: Instant) -> Duration {
         if offer.early {
-            self.admission.come_back(offer, now)
+            self.admission.book_return(offer, now)
         } else {
-            otherwise
+            default
         }
     }
 
-    /// Refuses an offer that is not likely to have its turn while it is of use.
+    /// Refuses an offer that is unlikely to be granted in time.
     fn refuse_early(&mut self, offer: Offer, now: Instant) -> Action {
         let ahead = self.queue.ahead_of(&offer);
         let limits = self.servers.requests_per_second();
-        let reason = self.admission.refuse(&offer, ahead, limits, now);
+        let reason = self.admission.refusal(&offer, ahead, limits, now);
         refuse(offer, reason)
     }
 
-    /// Time that the pool needs for what waits at `rank` and above, when all its servers work.
+    /// Time in which all servers together prefill the prompts that wait at `rank` and above.
     fn time_ahead(&self, rank: usize) -> Duration {
-        let tokens = self.queue.tokens_down_to(rank);
+        let tokens = self.queue.tokens_at_or_above(rank);
         let rate = self.servers.rate();
         if rate <= 0.0 {
             return Duration::ZERO;
@@ -102,11 +103,11 @@
         Duration::from_secs_f64(real(tokens) / rate)
     }
 
-    /// Refuses the last of the lowest tier that waits.
+    /// Refuses the last offer of the lowest waiting tier, since the queue is full.
     pub(super) fn shed(&mut self, now: Instant) -> Option<Action> {
         let offer = self.queue.pop_last()?;
-        let ahead = told_wait(self.time_ahead(offer.rank));
-        let wait = self.comes_back_in(&offer, ahead, now);
+        let ahead = clamp_retry_after(self.time_ahead(offer.rank));
+        let wait = self.retry_after(&offer, ahead, now);
         let message = format!("the queue of {} is full", self.service);
         Some(refuse(
             offer,
@@ -114,34 +115,34 @@
         ))
     }
 
-    /// Decides over what has waited for as long as it keeps its place.
+    /// Refuses, or queues as late, the offers that have expired or are no longer likely to be granted in time.
     pub(super) fn expire(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(offer) = self.queue.pop_due(now) {
+        while let Some(offer) = self.queue.pop_expired(now) {
             actions.extend(if offer.early {
-                self.miss(offer, now)
+                self.demote_or_refuse(offer, now)
             } else {
                 Some(refuse(offer, Reason::deadline_passed()))
             });
         }
-        // Late ones first: an offer that becomes late is judged as one at once.
+        // Late offers come first: an on-time offer that becomes late is checked against the remaining ones by `admit`.
         for late in [true, false] {
-            while let Some(offer) = self.pop_turned(late, now) {
-                actions.extend(self.miss(offer, now));
+            while let Some(offer) = self.pop_unlikely(late, now) {
+                actions.extend(self.demote_or_refuse(offer, now));
             }
         }
         actions
     }
 
-    /// Takes out the last that waits, late or not, if its forecast has turned.
-    fn pop_turned(&mut self, late: bool, now: Instant) -> Option<Offer> {
+    /// Removes the last late, or last on-time, offer if it is no longer likely to be granted in time.
+    fn pop_unlikely(&mut self, late: bool, now: Instant) -> Option<Offer> {
         let (offer, until) = self.queue.last(late)?;
         let ahead = self.queue.count(late) - 1;
         let stays = if late {
-            self.admission.waits_late(offer, ahead, until, now)
+            self.admission.may_wait_late(offer, ahead, until, now)
         } else {
             let paced = self.servers.paced_wait(ahead, now);
-            !offer.early || self.admission.comes_by(ahead, paced, until, now)
+            !offer.early || self.admission.is_likely_by(ahead, paced, until, now)
         };
         if stays {
             return None;
@@ -150,8 +151,8 @@
         self.queue.remove(&ticket)
     }
 
-    /// Decides over an offer that will not have its turn in time: it may wait as a late one, once.
-    fn miss(&mut self, mut offer: Offer, now: Instant) -> Option<Action> {
+    /// Queues an offer that will miss its time as a late one, once; otherwise refuses it.
+    fn demote_or_refuse(&mut self, mut offer: Offer, now: Instant) -> Option<Action> {
         if offer.late {
             return Some(self.refuse_early(offer, now));
         }
@@ -167,6 +168,6 @@
     }
 }
 
-fn told_wait(ahead: Duration) -> Duration {
-    ahead.clamp(RETRY_MIN, RETRY_MAX)
+fn clamp_retry_after(ahead: Duration) -> Duration {
+    ahead.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
 }
--- a/cypressvane/src/coordination/pool/mod.rs
+++ b/cypressvane/src/coordination/pool/mod.rs
@@ -1,7 +1,7 @@
-//! The queue of a pool of backend servers, kept by its home.
+//! A pool of backend servers and its queue, as kept by the pool's home.
 //!
-//! Requests wait in the hosts that received them; the home orders their offers, counts what it
-//! granted in tokens, and grants no more than each server's tail allows.
+//! Requests wait on the hosts that received them. The home orders their offers, counts the granted prompt tokens, and
+//! limits each server's backlog so that first tokens arrive in time.
 
 mod intake;
 mod turns;
@@ -22,17 +22,16 @@
 pub use crate::state::config::Belief;
 use crate::state::name::Name;
 
-/// A request that was granted and has not ended.
+/// A granted request that has not ended.
 #[derive(Debug)]
 struct Granted {
     server: Name,
     at: Instant,
-    /// When its holder was last known to run it.
+    /// When its holder last listed it as running; at first the time of the grant.
     confirmed: Instant,
     /// Forecast time to the first token.
     first_token: Duration,
-    /// What it has in common with others that run for about as long; `None` when another home
-    /// granted it.
+    /// Class of requests with similar running times; `None` if another home granted the request.
     kind: Option<Kind>,
 }
 
@@ -49,13 +48,13 @@
 }
 
 impl Pool {
-    /// A pool without servers; `waiting_max` bounds its queue.
+    /// Creates a pool without servers; `waiting_max` is the maximum length of its queue.
     #[must_use]
     pub fn new(service: Name, waiting_max: usize) -> Self {
         Self::believing(service, waiting_max, Belief::default())
     }
 
-    /// A pool without servers, of each of which `belief` is believed at first.
+    /// Creates a pool without servers; `belief` holds the initial estimates for each server that is added.
     #[must_use]
     pub fn believing(service: Name, waiting_max: usize, belief: Belief) -> Self {
         Self {
@@ -69,21 +68,21 @@
         }
     }
 
-    /// Takes over what the host list says of the servers.
+    /// Updates the servers from the host list.
     pub fn set_servers(&mut self, specs: &[Spec], now: Instant) -> Vec<Action> {
-        // What ran before a server was started again says nothing of it.
+        // These requests ran on an earlier process of a restarted server, so their end must not affect the new one.
         for ticket in self.servers.follow(specs, now) {
             self.granted.remove(&ticket);
         }
         self.grant(now)
     }
 
-    /// Takes an offer in. An offer that is known already is harmless: its grant is said again.
+    /// Handles an offer. Duplicates are harmless: a grant is sent again, a waiting offer is left in the queue.
     pub fn offer(&mut self, mut offer: Offer, now: Instant) -> Vec<Action> {
         if self.queue.contains(&offer.ticket) {
             return Vec::new();
         }
-        if let Some(action) = self.grant_again(&offer.ticket) {
+        if let Some(action) = self.repeat_grant(&offer.ticket) {
             return vec![action];
         }
         let Some(soonest) = self.servers.soonest(offer.prompt_tokens.into(), now) else {
@@ -92,13 +91,13 @@
         let mut actions = Vec::new();
         if offer.early {
             self.note_demand(&offer, now);
-            self.admission.meet(&mut offer, now);
+            self.admission.mark_returning(&mut offer, now);
             actions.extend(self.admit(offer, now));
         } else if let Some(reason) = self.unreachable(&offer, soonest, now) {
             return vec![refuse(offer, reason)];
         } else {
             self.note_demand(&offer, now);
-            self.wait(offer);
+            self.enqueue(offer);
         }
         if self.queue.len() > self.waiting_max {
             actions.extend(self.shed(now));
@@ -107,13 +106,14 @@
         actions
     }
 
-    /// Counts what an offer asks of the pool.
+    /// Adds an offer to its tier's demand.
     fn note_demand(&mut self, offer: &Offer, now: Instant) {
         self.demand
             .add(offer.rank, offer.prompt_tokens, offer.first_token, now);
     }
 
-    fn grant_again(&self, ticket: &Ticket) -> Option<Action> {
+    /// The grant of a ticket that was already granted, to send it again.
+    fn repeat_grant(&self, ticket: &Ticket) -> Option<Action> {
         let granted = self.granted.get(ticket)?;
         let server = self.servers.get(&granted.server)?;
         Some(Action::Grant {
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Takes a waiting request off the queue, or a grant back that was not used.
+    /// Removes a waiting request from the queue, or takes back an unused grant.
     pub fn withdraw(&mut self, ticket: &Ticket, now: Instant) -> Vec<Action> {
         if self.queue.remove(ticket).is_some() {
             return Vec::new();
@@ -133,7 +133,7 @@
         self.finish(ticket, End::Unused, now)
     }
 
-    /// Learns that the first token of a granted request came.
+    /// Records that the first token of a granted request arrived.
     pub fn first_token(&mut self, ticket: &Ticket, now: Instant) -> Vec<Action> {
         let Some(granted) = self.granted.get(ticket) else {
             return Vec::new();
@@ -143,7 +143,7 @@
         self.grant(now)
     }
 
-    /// Learns the longest pause of a granted request's stream, which is about to end.
+    /// Records the longest pause in a granted request's stream, just before the stream ends.
     pub fn paused(&mut self, ticket: &Ticket, longest: Duration) {
         if let Some(granted) = self.granted.get(ticket) {
             self.servers
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Learns how many requests a second the server takes that answers a granted request; `None` where its answer
+    /// Records the limit, in requests per second, in a server's answer to a granted request; `None` if the answer
     /// names no limit.
     pub fn hear_limit(
         &mut self,
@@ -160,7 +160,7 @@
         named: Option<f64>,
         now: Instant,
     ) -> Vec<Action> {
-        // Of a request that another home granted it is not known when it was sent.
+        // The send time is unknown for a request that another home granted.
         let own = self.granted.get(ticket).filter(|own| own.kind.is_some());
         let sent = own.filter(|own| own.server == *server).map(|own| own.at);
         self.servers
@@ -168,27 +168,29 @@
         self.grant(now)
     }
 
-    /// Learns a limit of a server that a host heard some time ago.
+    /// Records a server's limit that another host received earlier.
     pub fn hear_earlier_limit(&mut self, server: &Name, told: Told, now: Instant) -> Vec<Action> {
         self.servers.hear_earlier_limit(server, told, now);
         self.grant(now)
     }
 
-    /// Sets this home's part of the limits that servers name, from 0 to 1: a home that hears only some of the hosts
-    /// leaves the rest to another one that may hear the others.
+    /// Sets this home's share of the servers' limits, from 0 to 1.
+    ///
+    /// A home that hears from only some of the hosts leaves the remaining share to another home that may hear from the
+    /// others.
     pub fn share(&mut self, part: f64, now: Instant) -> Vec<Action> {
         self.servers.share(part, now);
         self.grant(now)
     }
 
-    /// Learns how a granted request ended.
+    /// Records how a granted request ended.
     pub fn finish(&mut self, ticket: &Ticket, end: End, now: Instant) -> Vec<Action> {
         let Some(granted) = self.granted.remove(ticket) else {
             return Vec::new();
         };
         if let (Some(kind), End::Whole) = (granted.kind, end) {
             let ran = now.saturating_duration_since(granted.at);
-            self.admission.ran(kind, ran);
+            self.admission.note_run_time(kind, ran);
         }
         let is_alone = end == End::Broken && self.servers.is_alone(&granted.server);
         self.servers.change(&granted.server, |server| {
@@ -209,7 +211,7 @@
         self.grant(now)
     }
 
-    /// Counts a request that an earlier home granted.
+    /// Adopts a running request that an earlier home granted.
     pub fn adopt(
         &mut self,
         ticket: Ticket,
@@ -234,9 +236,9 @@
         }
     }
 
-    /// Takes back the grants of a holder that it does not list as running.
+    /// Releases the grants of a holder that are missing from its list of running requests.
     ///
-    /// Only grants older than `age` are meant: a younger one may not have reached the holder yet.
+    /// Grants younger than `age` are skipped, since they may not have reached the holder yet.
     pub fn reconcile(
         &mut self,
         holder: &Name,
@@ -246,13 +248,13 @@
         now: Instant,
     ) -> Vec<Action> {
         let running: HashSet<u64> = running.iter().copied().collect();
-        let lost = |ticket: &Ticket, sent: Instant| {
+        let is_lost = |ticket: &Ticket, sent: Instant| {
             ticket.holder == *holder
                 && ticket.incarnation == incarnation
                 && !running.contains(&ticket.sequence)
                 && now.saturating_duration_since(sent) >= age
         };
-        for ticket in self.servers.forget(lost) {
+        for ticket in self.servers.forget(is_lost) {
             self.granted.remove(&ticket);
         }
         for sequence in running {
@@ -268,10 +270,11 @@
         self.grant(now)
     }
 
-    /// Takes back the grants that their holders have not listed as running for `age`.
+    /// Releases the grants that their holders have not listed as running for `age`.
     ///
-    /// A holder that missed a grant has nothing to list, so that its place would be taken for good. One that is
-    /// cut off for so long has its requests counted no more: their servers get as many others meanwhile.
+    /// A holder that never received a grant cannot list it, and the slot would leak. The requests of a holder that is
+    /// disconnected for that long are no longer counted either, so their servers may get as many further requests
+    /// meanwhile.
     pub fn forget_unconfirmed(&mut self, age: Duration, now: Instant) -> Vec<Action> {
         let granted = &self.granted;
         let is_lost = |ticket: &Ticket, _| {
@@ -284,7 +287,7 @@
         self.grant(now)
     }
 
-    /// Forgets all requests of a host that is gone, or of its earlier incarnations.
+    /// Drops all requests of a holder's incarnations before `before`; `u64::MAX` drops those of a host that is gone.
     pub fn forget(&mut self, holder: &Name, before: u64, now: Instant) -> Vec<Action> {
         let gone = |ticket: &Ticket| ticket.holder == *holder && ticket.incarnation < before;
         self.queue.forget(gone);
@@ -294,46 +297,46 @@
         self.grant(now)
     }
 
-    /// Refuses what can no longer be met, and grants to servers that came back.
+    /// Refuses offers that can no longer be met, and grants others to servers that are available again.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         self.grant(now)
     }
 
-    /// Takes the changes of what is believed of servers since the last look.
+    /// Takes the changes of server states since the last call.
     pub(crate) fn take_changes(&mut self) -> Vec<Change> {
         self.servers.take_changes()
     }
 
-    /// Takes the changes of servers' limits since the last look.
+    /// Takes the changes of server limits since the last call.
     pub(crate) fn take_limit_changes(&mut self) -> Vec<LimitChange> {
         self.servers.take_limit_changes()
     }
 
-    /// Number of servers that name a limit.
+    /// Number of servers with a limit.
     #[must_use]
     pub fn limited(&self) -> usize {
         self.servers.limited()
     }
 
-    /// Whether the ticket's request waits here.
+    /// Whether the ticket's request waits in the queue.
     #[must_use]
     pub fn is_waiting(&self, ticket: &Ticket) -> bool {
         self.queue.contains(ticket)
     }
 
-    /// Whether the ticket's request waits or was granted here.
+    /// Whether the ticket's request waits, or is granted and has not ended.
     #[must_use]
     pub fn knows(&self, ticket: &Ticket) -> bool {
         self.is_waiting(ticket) || self.granted.contains_key(ticket)
     }
 
-    /// Whether a further offer would have to wait.
+    /// Whether a new offer would have to wait.
     #[must_use]
     pub fn is_crowded(&self) -> bool {
         self.queue.len() > 0 || !self.servers.is_any_open()
     }
 
-    /// Places of live servers that nobody waits for.
+    /// Free slots of live servers, as far as the servers' limits allow their use, minus the waiting requests.
     #[must_use]
     pub fn idle_places(&self, now: Instant) -> u32 {
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
@@ -352,19 +355,19 @@
         self.granted.len()
     }
 
-    /// Prompt tokens that wait.
+    /// Prompt tokens of the waiting requests.
     #[must_use]
     pub fn waiting_tokens(&self) -> u64 {
-        self.queue.tokens_down_to(usize::MAX)
+        self.queue.tokens_at_or_above(usize::MAX)
     }
 
-    /// Number of servers that take work.
+    /// Number of servers that accept requests.
     #[must_use]
     pub fn servers(&self) -> usize {
         self.servers.working()
     }
 
-    /// Its part of the state dump.
+    /// The pool's entry in the state dump.
     #[must_use]
     pub fn dump(&self, now: Instant) -> dump::Pool {
         dump::Pool {
--- a/cypressvane/src/coordination/pool/turns.rs
+++ b/cypressvane/src/coordination/pool/turns.rs
@@ -1,4 +1,4 @@
-//! Who in a pool's queue has the next turn, and at which server.
+//! Granting: which waiting offer is granted next, and on which server.
 
 use super::intake::refuse;
 use super::{Granted, Pool};
@@ -9,22 +9,22 @@
 use crate::state::clock::Instant;
 use crate::state::reason::Reason;
 
-/// Part of a higher tier's window that lower tiers may fill while it asks.
-const LOWER_SHARE: f64 = 0.5;
-/// Most offers that are looked at for one grant: those behind them have no turn before them anyway.
-const OFFERS_LOOKED_AT: usize = 32;
+/// Share of a higher tier's window that lower tiers may fill while the higher tier has demand.
+const LOWER_TIER_SHARE: f64 = 0.5;
+/// Maximum number of offers examined for one grant: those behind them would not be granted before them anyway.
+const OFFERS_EXAMINED_MAX: usize = 32;
 
 impl Pool {
-    /// Grants in the order of the queue while a server's tail allows.
+    /// Expires waiting offers, then grants the others in queue order while servers have room for them.
     pub(super) fn grant(&mut self, now: Instant) -> Vec<Action> {
         self.servers.wake(now);
         let mut actions = self.expire(now);
-        while let Some((ticket, choice)) = self.next_turn(now) {
+        while let Some((ticket, choice)) = self.next_grant(now) {
             let Some(offer) = self.queue.remove(&ticket) else {
                 break;
             };
             if now + choice.first_token > offer.deadline {
-                // The time that it had was spent in the queue, whichever instant this is.
+                // The offer spent its time in the queue, even if its deadline is still a moment away.
                 actions.push(refuse(offer, Reason::deadline_passed()));
                 continue;
             }
@@ -45,7 +45,7 @@
                 kind: Some(Kind::of(&offer)),
             };
             self.granted.insert(ticket.clone(), granted);
-            self.admission.granted(&offer, now);
+            self.admission.note_grant(&offer, now);
             actions.push(Action::Grant {
                 ticket,
                 server,
@@ -57,15 +57,15 @@
         actions
     }
 
-    /// The offer that has the next turn, and where.
+    /// The next offer to grant, and its server.
     ///
-    /// One of which it is decided early lets those behind it past while no server suits it; another
-    /// one at the head keeps the lower tiers waiting.
-    fn next_turn(&mut self, now: Instant) -> Option<(Ticket, Choice)> {
+    /// An early-refusal offer is skipped while no server suits it. Any other offer blocks those behind it until a
+    /// server has room, so that it keeps lower tiers waiting.
+    fn next_grant(&mut self, now: Instant) -> Option<(Ticket, Choice)> {
         if !self.servers.is_any_open() {
             return None;
         }
-        for offer in self.queue.in_order().take(OFFERS_LOOKED_AT) {
+        for offer in self.queue.in_order().take(OFFERS_EXAMINED_MAX) {
             if offer.early {
                 if let Some(choice) = self.servers.place(offer, now) {
                     return Some((offer.ticket.clone(), choice));
@@ -81,13 +81,13 @@
     }
 }
 
-/// How far an offer may fill a server: up to half of its own promised first-token time, and, while
-/// higher tiers ask, up to half of what those may fill.
+/// How far an offer may fill a server: up to half of its own promised first-token time and, while higher tiers have
+/// demand, up to half of what those may fill.
 fn room(demand: &Demand, offer: &Offer, now: Instant) -> Room {
     let own = offer.first_token.mul_f64(WINDOW_SHARE);
     let higher = demand.above(offer.rank, now);
     let window = higher.map_or(own, |higher| {
-        own.min(higher.first_token.mul_f64(WINDOW_SHARE * LOWER_SHARE))
+        own.min(higher.first_token.mul_f64(WINDOW_SHARE * LOWER_TIER_SHARE))
     });
     Room { window, higher }
 }
