--- a/cypressvane/src/coordination/backoff.rs
+++ b/cypressvane/src/coordination/backoff.rs
@@ -1,14 +1,15 @@
-//! How long to rest after calls that failed: longer after each in a row.
+//! Exponential backoff after failed calls.
 
 use std::time::Duration;
 
-/// Longest rest of a host that asks for all: it notices soon when the other side is back.
-const MOST_FOR_ALL: Duration = Duration::from_millis(400);
-/// Longest rest of a host that is told what others see: refused calls have their price, and of some hundred hosts
-/// that all ask, nearly all ask in vain. In an outage of 8 s a host makes 8 calls rather than 23.
-const MOST_OF_OTHERS: Duration = Duration::from_millis(3_200);
+/// Maximum delay of a host that polls on behalf of all, so that it soon notices when the other side is available again.
+const DELAY_MAX_POLLER: Duration = Duration::from_millis(400);
+/// Maximum delay of a host that learns from the polling hosts what they see. Refused calls have a cost, and when some
+/// hundred hosts all poll, nearly all of their calls are useless. In an outage of 8 s such a host makes 8 calls rather
+/// than 23.
+const DELAY_MAX_OTHERS: Duration = Duration::from_millis(3_200);
 
-/// The rests after calls that failed in a row.
+/// Delays between consecutive failed calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     first: Duration,
@@ -16,25 +17,27 @@
 }
 
 impl Backoff {
-    /// Rests of which the first is so long; each is twice the one before.
+    /// Creates a backoff that starts at `first` and doubles with each failure.
     #[must_use]
     pub fn new(first: Duration) -> Self {
         Self { first, next: first }
     }
 
-    /// The rest after one more call that failed; `for_all` says whether others wait for what this host sees.
-    pub fn failed(&mut self, for_all: bool) -> Duration {
-        let most = if for_all {
-            MOST_FOR_ALL
+    /// Records a failed call and returns the delay before the next one.
+    ///
+    /// `is_poller` tells whether other hosts rely on what this host reads; it selects the maximum delay.
+    pub fn failed(&mut self, is_poller: bool) -> Duration {
+        let max = if is_poller {
+            DELAY_MAX_POLLER
         } else {
-            MOST_OF_OTHERS
+            DELAY_MAX_OTHERS
         };
-        let rest = self.next.min(most);
-        self.next = (rest * 2).min(most);
-        rest
+        let delay = self.next.min(max);
+        self.next = (delay * 2).min(max);
+        delay
     }
 
-    /// A call was answered.
+    /// Resets the delay after a successful call.
     pub fn answered(&mut self) {
         self.next = self.first;
     }
--- a/cypressvane/src/coordination/backoff_tests.rs
+++ b/cypressvane/src/coordination/backoff_tests.rs
@@ -1,67 +1,69 @@
+//! Number of calls during an outage, and the reset of the delay.
+
 use std::time::Duration;
 
 use super::Backoff;
 
 const FIRST: Duration = Duration::from_millis(50);
 
-/// Calls that fail in an outage, the first of them at its beginning.
-fn calls(outage: Duration, for_all: bool) -> u32 {
+/// Number of calls that fail during an outage, the first at its start.
+fn calls(outage: Duration, is_poller: bool) -> u32 {
     let mut backoff = Backoff::new(FIRST);
     let (mut calls, mut passed) = (0, Duration::ZERO);
     while passed < outage {
         calls += 1;
-        passed += backoff.failed(for_all);
+        passed += backoff.failed(is_poller);
     }
     calls
 }
 
 #[test]
-fn a_host_that_is_told_what_others_see_asks_seldom_while_it_is_refused() {
+fn hosts_that_do_not_poll_for_others_call_less_often_in_an_outage() {
     struct Case {
         name: &'static str,
         outage_ms: u64,
-        for_all: bool,
+        is_poller: bool,
         calls: u32,
     }
     let cases = [
         Case {
-            name: "a short outage, for all",
+            name: "short outage, polling host",
             outage_ms: 100,
-            for_all: true,
+            is_poller: true,
             calls: 2,
         },
         Case {
-            name: "a short outage, one of the others",
+            name: "short outage, other host",
             outage_ms: 100,
-            for_all: false,
+            is_poller: false,
             calls: 2,
         },
         Case {
-            name: "eight seconds, for all",
+            name: "eight seconds, polling host",
             outage_ms: 8_000,
-            for_all: true,
+            is_poller: true,
             calls: 23,
         },
         Case {
-            name: "eight seconds, one of the others",
+            name: "eight seconds, other host",
             outage_ms: 8_000,
-            for_all: false,
+            is_poller: false,
             calls: 8,
         },
     ];
     for case in cases {
         let outage = Duration::from_millis(case.outage_ms);
-        assert_eq!(calls(outage, case.for_all), case.calls, "{}", case.name);
+        assert_eq!(calls(outage, case.is_poller), case.calls, "{}", case.name);
     }
 }
 
 #[test]
-fn rests_begin_anew_after_an_answer_and_shorten_for_one_that_asks_for_all() {
+fn the_delay_resets_after_an_answer_and_shortens_for_a_polling_host() {
     let mut backoff = Backoff::new(FIRST);
     for _ in 0..10 {
         backoff.failed(false);
     }
-    // It has become one of those that others wait for.
+    // The host has become a polling host.
     assert_eq!(backoff.failed(true), Duration::from_millis(400));
     backoff.answered();
     assert_eq!(backoff.failed(true), FIRST);
--- a/cypressvane/src/coordination/budget.rs
+++ b/cypressvane/src/coordination/budget.rs
@@ -1,12 +1,11 @@
-//! How often a host may send requests once more.
+//! Retry budget: how many requests a host may send to a backend server again.
 //!
-//! The fleet's budget for a service, over any window, is a ratio of the requests for it and a fixed
-//! number. Each host keeps to the ratio of its own requests and to its part of the number, so no
-//! word between hosts is needed.
+//! Over any window, the fleet may retry a ratio of a service's requests plus a fixed number. Each host applies the
+//! ratio to its own requests and takes its share of the fixed number, so hosts need not communicate.
 //!
-//! What keeps the sum of the parts within the whole: a host takes the parts of as many hosts as it knew at
-//! any time in the window, since one that has left spent its part before; and it has no part at all in
-//! its first window, since it may have spent it before it was restarted, nor before it knows the others.
+//! Two rules keep the sum of the shares within the fixed number. A host divides it by the highest number of hosts that
+//! it knew at any time in the window, since a host that has left may have spent its share before. And a host has no
+//! share in its first window, since it may have spent it before a restart, nor before it knows the other hosts.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -14,144 +13,150 @@
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 
-/// Parts into which the window is cut for counting: a host may repeat that much less than allowed, 2%.
-const PARTS: u32 = 50;
+/// Intervals into which the window is divided for counting; the rounding costs a host up to 2% of its retries.
+const INTERVALS: u32 = 50;
 
-/// The bounds of a budget.
+/// Limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed in a window besides, on all hosts together.
+    /// Additional retries allowed per window, on all hosts together.
     pub spare: f64,
     /// The window.
     pub window: Duration,
 }
 
-/// What one part of the window saw.
+/// Counts of one interval of the window.
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    began: Instant,
+struct Interval {
+    start: Instant,
     requests: f64,
-    repeats: f64,
+    retries: f64,
 }
 
 /// The counts of one service.
 #[derive(Debug, Default)]
 struct Service {
-    parts: VecDeque<Part>,
+    intervals: VecDeque<Interval>,
 }
 
 impl Service {
-    /// The part of the window that `now` lies in, with those that are over forgotten.
-    fn part(&mut self, bounds: &Bounds, now: Instant) -> &mut Part {
-        let length = bounds.window / PARTS;
-        // The end of a part still counts when its beginning is a window old.
-        let is_over =
-            |part: &Part| now.saturating_duration_since(part.began) >= bounds.window + length;
-        while self.parts.front().is_some_and(is_over) {
-            self.parts.pop_front();
+    /// The interval that contains `now`; drops expired intervals.
+    fn interval(&mut self, bounds: &Bounds, now: Instant) -> &mut Interval {
+        let length = bounds.window / INTERVALS;
+        // The end of an interval is still in the window when its beginning is one window old.
+        let is_over = |interval: &Interval| {
+            now.saturating_duration_since(interval.start) >= bounds.window + length
+        };
+        while self.intervals.front().is_some_and(is_over) {
+            self.intervals.pop_front();
         }
         let is_new = self
-            .parts
+            .intervals
             .back()
-            .is_none_or(|part| now.saturating_duration_since(part.began) >= length);
+            .is_none_or(|interval| now.saturating_duration_since(interval.start) >= length);
         if is_new {
-            self.parts.push_back(Part {
-                began: now,
+            self.intervals.push_back(Interval {
+                start: now,
                 requests: 0.0,
-                repeats: 0.0,
+                retries: 0.0,
             });
         }
-        self.parts.back_mut().expect("a part was just added")
+        self.intervals
+            .back_mut()
+            .expect("an interval was just added")
     }
 
-    /// Requests that are certainly within the window.
+    /// Requests that are certainly within the window, a lower bound.
     fn requests(&self, bounds: &Bounds, now: Instant) -> f64 {
-        let is_within = |part: &&Part| now.saturating_duration_since(part.began) < bounds.window;
-        let parts = self.parts.iter().filter(is_within);
-        parts.map(|part| part.requests).sum()
+        let is_within =
+            |interval: &&Interval| now.saturating_duration_since(interval.start) < bounds.window;
+        let intervals = self.intervals.iter().filter(is_within);
+        intervals.map(|interval| interval.requests).sum()
     }
 
-    /// Repeats that may be within the window.
-    fn repeats(&self) -> f64 {
-        self.parts.iter().map(|part| part.repeats).sum()
+    /// Retries that may be within the window, an upper bound.
+    fn retries(&self) -> f64 {
+        self.intervals.iter().map(|interval| interval.retries).sum()
     }
 }
 
-/// Numbers of hosts that were known, each with when it last was.
+/// Numbers of known hosts within the window, each with the time at which it was last current.
 #[derive(Debug, Default)]
-struct Hosts {
-    known: VecDeque<(Instant, u32)>,
+struct HostCounts {
+    counts: VecDeque<(Instant, u32)>,
 }
 
-impl Hosts {
+impl HostCounts {
     fn note(&mut self, hosts: u32, window: Duration, now: Instant) {
-        match self.known.back_mut().filter(|last| last.1 == hosts) {
+        match self.counts.back_mut().filter(|last| last.1 == hosts) {
             Some(last) => last.0 = now,
-            None => self.known.push_back((now, hosts)),
+            None => self.counts.push_back((now, hosts)),
         }
         while self
-            .known
+            .counts
             .front()
             .is_some_and(|(at, _)| now.saturating_duration_since(*at) >= window)
         {
-            self.known.pop_front();
+            self.counts.pop_front();
         }
     }
 
-    /// The most that were known at once; `None` before any were.
+    /// The highest number; `None` if none is known.
     fn most(&self) -> Option<u32> {
-        self.known.iter().map(|(_, hosts)| *hosts).max()
+        self.counts.iter().map(|(_, hosts)| *hosts).max()
     }
 }
 
-/// The budgets of all services on this host.
+/// Retry budgets of all services on this host.
 #[derive(Debug)]
 pub struct Budget {
-    opened: Instant,
-    hosts: Hosts,
+    started_at: Instant,
+    hosts: HostCounts,
     services: HashMap<Name, Service>,
 }
 
 impl Budget {
-    /// The budget of a host that starts at `now`.
+    /// Creates the budgets of a host that starts at `now`.
     #[must_use]
     pub fn open(now: Instant) -> Self {
         Self {
-            opened: now,
-            hosts: Hosts::default(),
+            started_at: now,
+            hosts: HostCounts::default(),
             services: HashMap::new(),
         }
     }
 
-    /// Notes how many hosts share the budget, this one included; to be told often, and only when known.
+    /// Records how many hosts share the budget, including this one.
+    ///
+    /// Must be called regularly, but only while the number is known.
     pub fn shared_by(&mut self, hosts: u32, bounds: &Bounds, now: Instant) {
         self.hosts.note(hosts, bounds.window, now);
     }
 
-    /// Counts a request that callers sent.
+    /// Counts a caller's request.
     pub fn request(&mut self, service: &Name, bounds: &Bounds, now: Instant) {
         let service = self.services.entry(service.clone()).or_default();
-        service.part(bounds, now).requests += 1.0;
+        service.interval(bounds, now).requests += 1.0;
     }
 
-    /// Takes one repeat, if the budget has it.
+    /// Takes one retry from the budget; returns `false` if none is left.
     pub fn repeat(&mut self, service: &Name, bounds: &Bounds, now: Instant) -> bool {
         let spare = self.spare(bounds, now);
         let service = self.services.entry(service.clone()).or_default();
-        service.part(bounds, now);
+        service.interval(bounds, now);
         let allowed = service.requests(bounds, now) * bounds.ratio + spare;
-        if service.repeats() + 1.0 > allowed {
+        if service.retries() + 1.0 > allowed {
             return false;
         }
-        service.part(bounds, now).repeats += 1.0;
+        service.interval(bounds, now).retries += 1.0;
         true
     }
 
-    /// This host's part of the repeats that are allowed besides the ratio.
+    /// This host's share of `Bounds::spare`.
     fn spare(&self, bounds: &Bounds, now: Instant) -> f64 {
-        let is_first = now.saturating_duration_since(self.opened) < bounds.window;
+        let is_first = now.saturating_duration_since(self.started_at) < bounds.window;
         match self.hosts.most() {
             Some(hosts) if !is_first => bounds.spare / f64::from(hosts.max(1)),
             _ => 0.0,
--- a/cypressvane/src/coordination/idle.rs
+++ b/cypressvane/src/coordination/idle.rs
@@ -1,4 +1,4 @@
-//! Places that other shards of a service have told of, so that one without any gives offers away.
+//! Free slots reported by the other shards of a service, to which a shard without free slots redirects offers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,51 +6,57 @@
 use crate::coordination::shard::Shard;
 use crate::state::clock::Instant;
 
-/// How long what was told counts: some rounds of telling. Older places are taken by then.
-const KNOWN_FOR: Duration = Duration::from_millis(300);
-/// Places that are left to the shard that told of them, since its own offers come meanwhile.
-const LEFT: u32 = 2;
+/// How long a report is valid: a few reporting periods. After that the slots are likely to be taken.
+const REPORT_TTL: Duration = Duration::from_millis(300);
+/// Slots reserved for the reporting shard, since its own offers arrive meanwhile.
+const RESERVED: u32 = 2;
 
-/// What was told of one shard.
+/// A shard's latest report.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    /// Those that were not given offers since.
-    places: u32,
+struct Report {
+    /// Free slots, minus the offers redirected to them since the report.
+    free_slots: u32,
     at: Instant,
 }
 
-/// The idle places of other shards.
+/// Free slots of other shards.
 #[derive(Debug, Default)]
 pub(crate) struct Idle {
-    told: HashMap<Shard, Told>,
+    reports: HashMap<Shard, Report>,
 }
 
 impl Idle {
-    /// Takes in what a shard's home tells.
-    pub(crate) fn hear(&mut self, shard: Shard, places: u32, now: Instant) {
-        self.told.insert(shard, Told { places, at: now });
+    /// Records a report from a shard's home.
+    pub(crate) fn hear(&mut self, shard: Shard, free_slots: u32, now: Instant) {
+        self.reports.insert(
+            shard,
+            Report {
+                free_slots,
+                at: now,
+            },
+        );
     }
 
-    /// The shard with most places that one of the same service may give an offer to; takes the place.
+    /// Takes a slot of the shard of the same service with the most free slots; `None` if no other shard has enough.
     pub(crate) fn take(&mut self, from: &Shard, now: Instant) -> Option<Shard> {
         let is_other = |shard: &Shard| {
             shard.service == from.service && shard.count == from.count && shard != from
         };
-        let others = self.told.iter_mut().filter(|(shard, told)| {
-            let is_fresh = now.saturating_duration_since(told.at) < KNOWN_FOR;
-            is_fresh && told.places > LEFT && is_other(shard)
+        let others = self.reports.iter_mut().filter(|(shard, report)| {
+            let is_fresh = now.saturating_duration_since(report.at) < REPORT_TTL;
+            is_fresh && report.free_slots > RESERVED && is_other(shard)
         });
-        // Of equal ones the first by number, so that the choice does not hang on a map's order.
-        let (shard, told) =
-            others.max_by_key(|(shard, told)| (told.places, std::cmp::Reverse(shard.number)))?;
-        told.places -= 1;
+        // Ties go to the lowest number, so that the choice does not depend on the map's order.
+        let (shard, report) = others
+            .max_by_key(|(shard, report)| (report.free_slots, std::cmp::Reverse(shard.number)))?;
+        report.free_slots -= 1;
         Some(shard.clone())
     }
 
-    /// Forgets what does not count any more.
+    /// Removes expired reports.
     pub(crate) fn sweep(&mut self, now: Instant) {
-        self.told
-            .retain(|_, told| now.saturating_duration_since(told.at) < KNOWN_FOR);
+        self.reports
+            .retain(|_, report| now.saturating_duration_since(report.at) < REPORT_TTL);
     }
 }
 
--- a/cypressvane/src/coordination/idle_tests.rs
+++ b/cypressvane/src/coordination/idle_tests.rs
@@ -1,4 +1,4 @@
-//! Which shard gets an offer that another has no place for, by a clock that the test moves.
+//! Choice of the shard to which an offer is redirected, with timestamps supplied by the test.
 
 use std::time::Duration;
 
@@ -16,54 +16,54 @@
 
 struct Case {
     name: &'static str,
-    /// Numbers of shards of four, with the places that they told of.
-    told: &'static [(u16, u32)],
-    /// Milliseconds from the telling to the offers.
+    /// Reports: the shard's number, out of four shards, and its free slots.
+    reports: &'static [(u16, u32)],
+    /// Milliseconds from the reports to the offers.
     after: u64,
-    /// Where offers of shard 0 go, one after the other.
+    /// Shards to which consecutive offers of shard 0 are redirected.
     taken: &'static [Option<u16>],
 }
 
 const CASES: [Case; 5] = [
     Case {
-        name: "nobody told of places",
-        told: &[],
+        name: "no reports",
+        reports: &[],
         after: 0,
         taken: &[None],
     },
     Case {
-        name: "most places first, and each is given once",
-        told: &[(1, 4), (2, 5)],
+        name: "the shard with the most free slots first, each slot once",
+        reports: &[(1, 4), (2, 5)],
         after: 100,
         taken: &[Some(2), Some(1), Some(2), Some(1), Some(2), None],
     },
     Case {
-        name: "some are left to the shard itself",
-        told: &[(1, 2), (2, 0)],
+        name: "slots reserved for the reporting shard",
+        reports: &[(1, 2), (2, 0)],
         after: 0,
         taken: &[None],
     },
     Case {
         name: "not to itself",
-        told: &[(0, 100)],
+        reports: &[(0, 100)],
         after: 0,
         taken: &[None],
     },
     Case {
-        name: "what was told too long ago does not count",
-        told: &[(1, 100)],
+        name: "an expired report is ignored",
+        reports: &[(1, 100)],
         after: 300,
         taken: &[None],
     },
 ];
 
 #[test]
-fn offers_go_where_places_were_told_of() {
+fn offers_are_redirected_to_reported_free_slots() {
     for case in CASES {
         let start = Instant::now();
         let mut idle = Idle::default();
-        for (number, places) in case.told {
-            idle.hear(shard(*number, 4), *places, start);
+        for (number, free_slots) in case.reports {
+            idle.hear(shard(*number, 4), *free_slots, start);
         }
         let now = start + Duration::from_millis(case.after);
         for expected in case.taken {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn shards_of_another_cut_or_service_get_nothing() {
+fn shards_of_another_service_or_shard_count_get_no_offers() {
     let now = Instant::now();
     let mut idle = Idle::default();
     idle.hear(shard(1, 8), 100, now);
--- a/cypressvane/src/coordination/lag.rs
+++ b/cypressvane/src/coordination/lag.rs
@@ -1,57 +1,59 @@
-//! How far a host is behind with its work, told by how late a task of its own has its turn.
+//! How far a host is behind schedule, measured by the delay of a periodic task.
 
 use std::time::Duration;
 
 use crate::state::clock::Instant;
 
-/// Time for which a delay counts: some tens of looks, and short against a rush.
+/// Length of a measuring span: some tens of runs of the task, and short compared with a load peak.
 const SPAN: Duration = Duration::from_millis(500);
 
-/// The longest delay of late of a task that is due at a steady pace.
+/// Longest recent delay of a periodic task.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lag {
     period: Duration,
+    /// Time of the last run.
     last: Option<Instant>,
-    /// Since when `longest` is measured.
-    since: Option<Instant>,
+    /// Start of the current span.
+    span_start: Option<Instant>,
+    /// Longest delay of the current span.
     longest: Duration,
-    /// The longest of the span before.
-    before: Duration,
+    /// Longest delay of the previous span.
+    previous_longest: Duration,
 }
 
 impl Lag {
-    /// No delay yet of a task that is due each `period`.
+    /// Creates the measurement for a task that is due every `period`.
     pub(crate) fn of(period: Duration) -> Self {
         Self {
             period,
             last: None,
-            since: None,
+            span_start: None,
             longest: Duration::ZERO,
-            before: Duration::ZERO,
+            previous_longest: Duration::ZERO,
         }
     }
 
-    /// Notes that the task has its turn.
+    /// Records a run of the task.
     pub(crate) fn turn(&mut self, now: Instant) {
         let passed = self
             .last
             .replace(now)
             .map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
-        let since = *self.since.get_or_insert(now);
-        if now.saturating_duration_since(since) >= SPAN {
-            self.before = std::mem::take(&mut self.longest);
-            self.since = Some(now);
+        let span_start = *self.span_start.get_or_insert(now);
+        if now.saturating_duration_since(span_start) >= SPAN {
+            self.previous_longest = std::mem::take(&mut self.longest);
+            self.span_start = Some(now);
         }
         self.longest = self.longest.max(passed.saturating_sub(self.period));
     }
 
-    /// The longest delay of the last one or two spans, or the one under way.
+    /// Longest delay in the current and the previous span, including the delay of a run that is overdue.
     pub(crate) fn recent(&self, now: Instant) -> Duration {
-        let under_way = self
+        let overdue = self
             .last
             .map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
-        let under_way = under_way.saturating_sub(self.period);
-        self.longest.max(self.before).max(under_way)
+        let overdue = overdue.saturating_sub(self.period);
+        self.longest.max(self.previous_longest).max(overdue)
     }
 }
 
--- a/cypressvane/src/coordination/lapse.rs
+++ b/cypressvane/src/coordination/lapse.rs
@@ -1,7 +1,7 @@
-//! Backend servers whose entries lapsed because the host list itself was away.
+//! Backend servers whose entries expired because the host list itself was unavailable.
 //!
-//! Servers renew their entries, so that a list which was away for long comes back without them. They
-//! are back in it shortly after; until then they are taken as there.
+//! Servers renew their entries, so a host list that was unavailable for long comes back without them. They register
+//! again shortly after; until then their last entries are retained.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -10,31 +10,35 @@
 use crate::state::name::Name;
 use crate::state::platform::{Entry, Kind, Presence};
 
-/// How long entries that lapsed are kept: the users' sites have servers back in the list within two
-/// seconds.
-const KEPT_FOR: Duration = Duration::from_secs(2);
-/// Part of a service's servers that do not leave in one moment by themselves.
-const MANY: f64 = 0.5;
-/// Fewest servers of which such a part is a sign.
-const MANY_MIN: usize = 2;
+/// How long expired entries are retained: at the users' sites, servers are back in the list within two seconds.
+const RETAINED_FOR: Duration = Duration::from_secs(2);
+/// Share of a service's servers above which a simultaneous disappearance counts as expiry: so many do not leave
+/// at once by themselves.
+const MASS_EXPIRY_SHARE: f64 = 0.5;
+/// Minimum number of missing servers for which `MASS_EXPIRY_SHARE` applies.
+const MASS_EXPIRY_MIN: usize = 2;
 
-/// The entries that are kept though the list does not have them.
+/// Entries that are retained although the host list no longer has them.
 #[derive(Debug, Default)]
 pub struct Lapse {
+    /// The host list as last read.
     last: HashMap<Name, Entry>,
-    kept: HashMap<Name, (Entry, Instant)>,
+    /// Retained entries, each with the time at which it is dropped.
+    retained: HashMap<Name, (Entry, Instant)>,
 }
 
 impl Lapse {
-    /// Adds to what was listed the servers that are taken as there; `back` is when the list was
-    /// there again after it was away.
+    /// Adds the retained entries to `listed`, the host list as read now.
+    ///
+    /// `recovered_at` is the time at which the list became available again after an outage, if there was one.
     pub fn merge(
         &mut self,
         mut listed: Vec<Entry>,
-        back: Option<Instant>,
+        recovered_at: Option<Instant>,
         now: Instant,
     ) -> Vec<Entry> {
-        let is_back = back.filter(|at| now.saturating_duration_since(*at) < KEPT_FOR);
+        let recent_recovery =
+            recovered_at.filter(|at| now.saturating_duration_since(*at) < RETAINED_FOR);
         let names: HashSet<&Name> = listed.iter().map(|entry| &entry.name).collect();
         let is_missing = |entry: &&Entry| {
             entry.kind == Kind::Backend
@@ -44,37 +48,38 @@
         let missing: Vec<Entry> = self.last.values().filter(is_missing).cloned().collect();
         for entry in &missing {
             let of_service = |other: &&Entry| other.service == entry.service;
-            let gone = missing.iter().filter(of_service).count();
-            let were = self.last.values().filter(of_service).count();
-            let many = gone >= MANY_MIN && as_part(gone, were) > MANY;
-            if is_back.is_some() || many {
-                let until = is_back.unwrap_or(now) + KEPT_FOR;
-                let kept = (entry.clone(), until);
-                self.kept.entry(entry.name.clone()).or_insert(kept);
+            let missing_count = missing.iter().filter(of_service).count();
+            let total = self.last.values().filter(of_service).count();
+            let is_mass_expiry =
+                missing_count >= MASS_EXPIRY_MIN && share(missing_count, total) > MASS_EXPIRY_SHARE;
+            if recent_recovery.is_some() || is_mass_expiry {
+                let until = recent_recovery.unwrap_or(now) + RETAINED_FOR;
+                let retained = (entry.clone(), until);
+                self.retained.entry(entry.name.clone()).or_insert(retained);
             }
         }
-        self.kept
+        self.retained
             .retain(|name, (_, until)| !names.contains(name) && now < *until);
         self.last = listed
             .iter()
             .map(|entry| (entry.name.clone(), entry.clone()))
             .collect();
-        listed.extend(self.kept.values().map(|(entry, _)| entry.clone()));
+        listed.extend(self.retained.values().map(|(entry, _)| entry.clone()));
         listed
     }
 
-    /// When the first of the kept entries is given up.
+    /// When the next retained entry is dropped.
     #[must_use]
     pub fn ends(&self) -> Option<Instant> {
-        self.kept.values().map(|(_, until)| *until).min()
+        self.retained.values().map(|(_, until)| *until).min()
     }
 }
 
-fn as_part(count: usize, of: usize) -> f64 {
+fn share(count: usize, of: usize) -> f64 {
     #[allow(
         clippy::cast_precision_loss,
         reason = "numbers of servers are far below 52 bits"
     )]
-    let part = count as f64 / of.max(1) as f64;
-    part
+    let share = count as f64 / of.max(1) as f64;
+    share
 }
--- a/cypressvane/src/coordination/rest.rs
+++ b/cypressvane/src/coordination/rest.rs
@@ -1,64 +1,64 @@
-//! When a host asks again that rests after a call to the platform that failed.
+//! The wait of a host after a failed call to the platform, before it calls again.
 //!
-//! How long it rests by itself is decided by what calls cost (`backoff`). What it learns meanwhile decides how long the
-//! rest is of use to anybody: a change is to be in force within two seconds at each host that the platform answers.
+//! The wait lasts for the delay given by `backoff`, which reflects the cost of calls. What the host learns meanwhile
+//! may end it early, since a change must be in force within two seconds on every host that the platform answers.
 
 use std::time::Duration;
 
 use crate::state::clock::Instant;
 
-/// Longest rest of a host that the platform turns away while it answers others: half of the time in which a change is
-/// to be in force, so that the way may be back just after a call.
-const TURNED_AWAY: Duration = Duration::from_secs(1);
-/// For how long the platform counts as there after it answered another host: the hosts that look at it for all do so each
-/// 2.2 s, and tell with the next heartbeat.
-const LATELY: Duration = Duration::from_secs(3);
+/// Maximum wait of a host whose calls fail while the platform answers others: half of the time in which a change must
+/// be in force, since the connection may recover just after a call.
+const ONLY_HOST_DELAY_MAX: Duration = Duration::from_secs(1);
+/// How long the platform counts as available after it answered another host: the hosts that poll it on behalf of all
+/// do so every 2.2 s, and report the result with their next heartbeat.
+const RECENT_ANSWER_AGE_MAX: Duration = Duration::from_secs(3);
 
-/// When the platform answered last, as far as this host knows.
+/// When the platform last answered, as far as this host knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Answered {
-    /// This host, whatever it asked for.
+    /// Last answer to any call of this host.
     pub(crate) here: Option<Instant>,
-    /// Another host.
+    /// Last answer to another host.
     pub(crate) elsewhere: Option<Instant>,
 }
 
-/// A rest after a call that failed.
+/// The wait after a failed call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rest {
     began: Instant,
     length: Duration,
-    /// Whether the platform turned this host away alone when it began: others had answers lately.
-    is_alone: bool,
+    /// Whether only this host's calls failed when the wait began: others had recent answers.
+    is_only_host: bool,
 }
 
 impl Rest {
-    /// Begins a rest that takes `length` unless something is learnt meanwhile.
+    /// Begins a wait of at most `length`.
     pub(crate) fn begin(length: Duration, answered: Answered, now: Instant) -> Self {
-        let lately = |at: Instant| now.saturating_duration_since(at) <= LATELY;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) <= RECENT_ANSWER_AGE_MAX;
         Self {
             began: now,
             length,
-            is_alone: answered.elsewhere.is_some_and(lately),
+            is_only_host: answered.elsewhere.is_some_and(is_recent),
         }
     }
 
-    /// How much of it is left.
+    /// Remaining time, given what is known now.
     pub(crate) fn left(&self, answered: Answered, now: Instant) -> Duration {
         let end = self.began + self.length(answered);
         end.saturating_duration_since(now)
     }
 
     fn length(&self, answered: Answered) -> Duration {
-        let since = |at: Option<Instant>| at.is_some_and(|at| at > self.began);
-        if since(answered.here) {
+        let is_after_start = |at: Option<Instant>| at.is_some_and(|at| at > self.began);
+        if is_after_start(answered.here) {
             return Duration::ZERO;
         }
-        if self.is_alone {
-            // That others have answers is no news, and its own calls may go on to fail.
-            return self.length.min(TURNED_AWAY);
+        if self.is_only_host {
+            // Answers to others are nothing new, and this host's own calls may continue to fail.
+            return self.length.min(ONLY_HOST_DELAY_MAX);
         }
-        if since(answered.elsewhere) {
+        if is_after_start(answered.elsewhere) {
             return Duration::ZERO;
         }
         self.length
--- a/cypressvane/src/coordination/rest_tests.rs
+++ b/cypressvane/src/coordination/rest_tests.rs
@@ -1,10 +1,9 @@
-//! A host that the platform turned away went on resting after its way there was back, though another call of its own
-//! was answered and other hosts had answers all the time.
+//! Guards against a host that waits out its backoff although the platform answers it again.
 //!
-//! Seen: the host list was read again at once, the configuration 3.05 s later. Cause: a rest of up to 3.2 s, which ended
-//! early only when another host confirmed the version that this host had; a host that is behind has another one.
-//! Proved by the rests in its log, and by the cases here, of which the same rests without what is learnt meanwhile
-//! fail all but the last two.
+//! When the platform answered a host again, the host read the host list at once, but the configuration only 3.05 s
+//! later, although other hosts had answers all the time. Its wait of up to 3.2 s ended early only when another host
+//! confirmed the version that this host had, and a host that is behind has another version. Waits that ignore answers
+//! to other calls and to other hosts fail all but the last two cases.
 
 use std::time::Duration;
 
@@ -13,27 +12,27 @@
 use crate::drawn;
 use crate::state::clock::Instant;
 
-/// The longest rest of a host that is told what others see.
-const LONGEST_MS: u64 = 3_200;
-/// A host that the platform turns away alone asks again within this time.
-const TURNED_AWAY_MS: u64 = 1_000;
+/// Maximum backoff of a host that does not poll on behalf of others.
+const DELAY_MAX_MS: u64 = 3_200;
+/// A host whose calls fail while others get answers calls again within this time.
+const ONLY_HOST_DELAY_MAX_MS: u64 = 1_000;
 
 fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
 #[test]
-fn a_rest_ends_by_what_is_learnt_of_the_platform() {
+fn a_wait_ends_early_when_the_platform_is_known_to_answer() {
     struct Case {
         name: &'static str,
-        /// When it answered another host last before the rest, in milliseconds before it.
+        /// Last answer to another host before the wait, in milliseconds before its start.
         elsewhere_before: Option<u64>,
-        /// When it answers this host, in milliseconds from the rest's beginning.
+        /// Answer to this host, in milliseconds from the start of the wait.
         here: Option<u64>,
-        /// When it answers another host.
+        /// Answer to another host, in milliseconds from the start of the wait.
         elsewhere: Option<u64>,
-        /// How long a rest of 3.2 s takes then, as seen at its end.
-        takes: u64,
+        /// Resulting length of a wait of 3.2 s, in milliseconds.
+        expected_length: u64,
     }
     let cases = [
         Case {
@@ -41,42 +40,42 @@
             elsewhere_before: None,
             here: Some(200),
             elsewhere: None,
-            takes: 200,
+            expected_length: 200,
         },
         Case {
-            name: "it was away for all, and answers another host",
+            name: "the platform was unavailable to all, and answers another host",
             elsewhere_before: Some(9_000),
             here: None,
             elsewhere: Some(400),
-            takes: 400,
+            expected_length: 400,
         },
         Case {
-            name: "it answers others all the time",
+            name: "the platform answers others all the time",
             elsewhere_before: Some(1_500),
             here: None,
             elsewhere: Some(700),
-            takes: TURNED_AWAY_MS,
+            expected_length: ONLY_HOST_DELAY_MAX_MS,
         },
         Case {
-            name: "it answered others until just now",
+            name: "the platform answered others until just now",
             elsewhere_before: Some(1_500),
             here: None,
             elsewhere: None,
-            takes: TURNED_AWAY_MS,
+            expected_length: ONLY_HOST_DELAY_MAX_MS,
         },
         Case {
-            name: "it is away for all",
+            name: "the platform is unavailable to all",
             elsewhere_before: Some(9_000),
             here: None,
             elsewhere: None,
-            takes: LONGEST_MS,
+            expected_length: DELAY_MAX_MS,
         },
         Case {
-            name: "nothing was ever heard",
+            name: "the platform never answered",
             elsewhere_before: None,
             here: None,
             elsewhere: None,
-            takes: LONGEST_MS,
+            expected_length: DELAY_MAX_MS,
         },
     ];
     for case in cases {
@@ -86,8 +85,8 @@
             here: None,
             elsewhere: before,
         };
-        let rest = Rest::begin(ms(LONGEST_MS), known, began);
-        let takes = (0..=LONGEST_MS).find(|passed| {
+        let rest = Rest::begin(ms(DELAY_MAX_MS), known, began);
+        let expected_length = (0..=DELAY_MAX_MS).find(|passed| {
             let by_now = |at: Option<u64>| at.filter(|at| at <= passed).map(|at| began + ms(at));
             let known = Answered {
                 here: by_now(case.here),
@@ -95,40 +94,40 @@
             };
             rest.left(known, began + ms(*passed)).is_zero()
         });
-        assert_eq!(takes, Some(case.takes), "{}", case.name);
+        assert_eq!(expected_length, Some(case.expected_length), "{}", case.name);
     }
 }
 
-/// However long the platform has turned a host away that hears others, the host asks again within a second of the
-/// moment at which it may.
+/// However long the calls of a single host have failed, it calls again within a second of the connection's recovery,
+/// plus the duration of a call.
 #[test]
-fn a_host_that_is_turned_away_alone_asks_soon_after_its_way_is_back() {
-    fn holds(call_ms: u64, back_ms: u64, told_every_ms: u64) -> bool {
-        let (call_ms, back_ms) = (call_ms % 1_500, back_ms % 40_000);
-        let told_every_ms = 1 + told_every_ms % 2_200;
+fn a_host_whose_calls_alone_fail_calls_again_soon_after_recovery() {
+    fn holds(call_ms: u64, recovered_ms: u64, reported_every_ms: u64) -> bool {
+        let (call_ms, recovered_ms) = (call_ms % 1_500, recovered_ms % 40_000);
+        let reported_every_ms = 1 + reported_every_ms % 2_200;
         let start = Instant::now();
         let mut backoff = Backoff::new(ms(100));
-        // The moment at which a call begins, in milliseconds.
-        let mut asks = 0;
-        while asks < back_ms {
-            let fails = asks + call_ms;
-            let told = fails - fails % told_every_ms;
+        // Start of the next call, in milliseconds.
+        let mut call_at = 0;
+        while call_at < recovered_ms {
+            let failed_at = call_at + call_ms;
+            let reported_at = failed_at - failed_at % reported_every_ms;
             let answered = Answered {
                 here: None,
-                elsewhere: Some(start + ms(told)),
+                elsewhere: Some(start + ms(reported_at)),
             };
-            let rest = Rest::begin(backoff.failed(false), answered, start + ms(fails));
-            let left = rest.left(answered, start + ms(fails));
-            asks = fails + u64::try_from(left.as_millis()).expect("a rest is short");
+            let rest = Rest::begin(backoff.failed(false), answered, start + ms(failed_at));
+            let left = rest.left(answered, start + ms(failed_at));
+            call_at = failed_at + u64::try_from(left.as_millis()).expect("a wait is short");
         }
-        asks - back_ms <= call_ms + TURNED_AWAY_MS
+        call_at - recovered_ms <= call_ms + ONLY_HOST_DELAY_MAX_MS
     }
     drawn::quickcheck().quickcheck(holds as fn(u64, u64, u64) -> bool);
 }
 
-/// Nothing that is learnt makes a rest longer than calls cost.
+/// Nothing that a host learns extends a wait beyond its backoff delay.
 #[test]
-fn a_rest_is_never_longer_than_its_length() {
+fn a_wait_never_exceeds_its_length() {
     fn holds(
         length_ms: u16,
         passed_ms: u16,
