--- a/cypressvane/src/coordination/answering.rs
+++ b/cypressvane/src/coordination/answering.rs
@@ -1,5 +1,6 @@
-//! Homes that leave this host's offers without a word: frozen, cut off from it alone, or behind with their
-//! work. Other shards get the offers meanwhile, long before the home counts as lost.
+//! Detects homes that do not reply to this host's offers: frozen, disconnected from this host alone, or overloaded.
+//!
+//! Their offers go to other shards meanwhile, long before the home counts as lost.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,132 +8,138 @@
 use crate::coordination::shard::Shard;
 use crate::state::clock::Instant;
 
-/// How long a shard is left alone at first after its home gave no word.
-const REST_FIRST: Duration = Duration::from_millis(500);
-/// Longest time for which it is left alone before it is tried again.
-const REST_MAX: Duration = Duration::from_secs(4);
+/// How long a shard is excluded at first after its home did not reply.
+const EXCLUSION_FIRST: Duration = Duration::from_millis(500);
+/// Maximum time for which a shard is excluded before it is tried again.
+const EXCLUSION_MAX: Duration = Duration::from_secs(4);
 
-/// Time after which an offer that waits, or whose only home gives no word, is said again.
-const SAY_AGAIN: Duration = Duration::from_secs(1);
-/// Time after which a word is asked for on an offer: many times the way there and back.
-const ASK_AFTER: Duration = Duration::from_millis(150);
-/// Time in which a home that is asked gives a word. With the one before it is less than half of the
-/// objective of model requests (800 ms), and more than a rush keeps a home from answering that keeps up.
-const WORD_WITHIN: Duration = Duration::from_millis(200);
+/// Time after which an offer that is queued, or whose only home does not reply, is sent again.
+const RESEND_AFTER: Duration = Duration::from_secs(1);
+/// Time after which an acknowledgement is requested for a new offer: many times the round trip.
+const ACK_REQUEST_AFTER: Duration = Duration::from_millis(150);
+/// Time that a home has to reply to such a request. Together with `ACK_REQUEST_AFTER` it is less than half of the
+/// objective of model requests (800 ms), and longer than a load peak delays the reply of a home that keeps up.
+const ACK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How an offer stands with its home.
+/// State of an offer that waits at its home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    /// It was made.
-    Made,
-    /// A word was asked for.
-    Asked,
-    /// The home has said that it waits.
+enum State {
+    /// It was sent.
+    Sent,
+    /// An acknowledgement was requested.
+    AckRequested,
+    /// The home acknowledged that it is queued.
     Queued,
-    /// It gave no word, and was asked once more over another connection.
-    Doubted,
+    /// The only home did not reply, and got the offer again over another connection.
+    Reconnected,
 }
 
-/// What is to be done about an offer that waits.
+/// The next action for a waiting offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Nothing yet.
+    /// Do nothing yet.
     Wait,
-    /// It is said again, and asks for a word.
+    /// Send the offer again and request an acknowledgement.
     Ask,
-    /// Its home gives no word: another shard gets it.
+    /// Offer the request to another shard, since the home does not reply.
     Leave,
-    /// Its home, the only one, gives no word: it is said again over another connection.
+    /// Send the offer again over another connection, since the only home does not reply.
     Doubt,
 }
 
-/// The time that an offer has waited at its home.
+/// Tracks how long an offer has waited for its home.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wait {
-    standing: Standing,
+    state: State,
+    /// When the offer was last sent or acknowledged.
     since: Instant,
 }
 
 impl Wait {
-    /// An offer that is made now.
+    /// Starts tracking an offer that is sent now.
     pub(crate) fn begin(now: Instant) -> Self {
         Self {
-            standing: Standing::Made,
+            state: State::Sent,
             since: now,
         }
     }
 
-    /// Its home has said that it waits.
+    /// Records the home's acknowledgement that the offer is queued.
     pub(crate) fn queued(&mut self, now: Instant) {
-        self.standing = Standing::Queued;
+        self.state = State::Queued;
         self.since = now;
     }
 
-    /// Whether its home was asked for a word.
+    /// Whether an acknowledgement was requested.
     pub(crate) fn is_asked(&self) -> bool {
-        matches!(self.standing, Standing::Asked | Standing::Doubted)
+        matches!(self.state, State::AckRequested | State::Reconnected)
     }
 
-    /// What is to be done about it; `has_others` tells whether another home could have it.
+    /// Returns the next action and updates the state; `has_others` is whether the service has other shards.
     pub(crate) fn step(&mut self, has_others: bool, now: Instant) -> Step {
-        let patience = match self.standing {
-            Standing::Made => ASK_AFTER,
-            Standing::Asked => WORD_WITHIN,
-            Standing::Queued | Standing::Doubted => SAY_AGAIN,
+        let timeout = match self.state {
+            State::Sent => ACK_REQUEST_AFTER,
+            State::AckRequested => ACK_TIMEOUT,
+            State::Queued | State::Reconnected => RESEND_AFTER,
         };
-        if now.saturating_duration_since(self.since) < patience {
+        if now.saturating_duration_since(self.since) < timeout {
             return Step::Wait;
         }
         self.since = now;
-        if self.standing == Standing::Asked {
+        if self.state == State::AckRequested {
             if has_others {
                 return Step::Leave;
             }
-            self.standing = Standing::Doubted;
+            self.state = State::Reconnected;
             return Step::Doubt;
         }
-        self.standing = Standing::Asked;
+        self.state = State::AckRequested;
         Step::Ask
     }
 }
 
-/// A shard whose home gave no word.
+/// The exclusion of a shard whose home did not reply.
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Exclusion {
     until: Instant,
     length: Duration,
 }
 
-/// The shards whose homes gave no word, as one host sees them.
+/// Shards whose homes did not reply to this host, each excluded with exponential backoff.
 #[derive(Debug, Default)]
 pub(crate) struct Answering {
-    rests: HashMap<Shard, Rest>,
+    exclusions: HashMap<Shard, Exclusion>,
 }
 
 impl Answering {
-    /// Notes that a shard's home gave no word on an offer.
+    /// Records that a shard's home did not reply to an offer, and excludes the shard.
     ///
-    /// Further offers that had been made before count as one with the first.
+    /// Calls during an exclusion have no effect, so that all offers sent before it count once.
     pub(crate) fn note_silence(&mut self, shard: &Shard, now: Instant) {
-        let rest = self.rests.get(shard);
-        if rest.is_some_and(|rest| now < rest.until) {
+        let exclusion = self.exclusions.get(shard);
+        if exclusion.is_some_and(|exclusion| now < exclusion.until) {
             return;
         }
-        let length = rest.map_or(REST_FIRST, |rest| (rest.length * 2).min(REST_MAX));
+        let length = exclusion.map_or(EXCLUSION_FIRST, |exclusion| {
+            (exclusion.length * 2).min(EXCLUSION_MAX)
+        });
         let until = now + length;
-        self.rests.insert(shard.clone(), Rest { until, length });
+        self.exclusions
+            .insert(shard.clone(), Exclusion { until, length });
     }
 
-    /// Notes that its home has said something of an offer.
+    /// Records a reply of a shard's home to an offer, which ends the exclusion and resets its length.
     pub(crate) fn note_word(&mut self, shard: &Shard) {
-        if !self.rests.is_empty() {
-            self.rests.remove(shard);
+        if !self.exclusions.is_empty() {
+            self.exclusions.remove(shard);
         }
     }
 
-    /// Whether it gets no offers for the moment.
+    /// Whether the shard is excluded at `now`.
     pub(crate) fn rests(&self, shard: &Shard, now: Instant) -> bool {
-        self.rests.get(shard).is_some_and(|rest| now < rest.until)
+        self.exclusions
+            .get(shard)
+            .is_some_and(|exclusion| now < exclusion.until)
     }
 }
 
--- a/cypressvane/src/coordination/answering_tests.rs
+++ b/cypressvane/src/coordination/answering_tests.rs
@@ -1,4 +1,4 @@
-//! What a holder does about offers without an answer, by a clock that the test moves.
+//! A holder's actions for offers without a reply, with timestamps supplied by the test.
 
 use std::time::Duration;
 
@@ -6,80 +6,80 @@
 use crate::coordination::shard::Shard;
 use crate::state::clock::Instant;
 
-/// What happens to an offer that waits.
+/// An event of a waiting offer.
 #[derive(Clone, Copy)]
 enum Event {
-    /// It is looked at, and this is to be done.
-    Looked(Step),
-    /// Its home says that it waits.
+    /// The offer is checked, and this action is expected.
+    Checked(Step),
+    /// Its home acknowledges that it is queued.
     Queued,
 }
 
 struct Case {
     name: &'static str,
     has_others: bool,
-    /// Milliseconds from the start, and what happens then.
+    /// Events, with their times in milliseconds from the start.
     events: &'static [(u64, Event)],
 }
 
 const CASES: [Case; 4] = [
     Case {
-        name: "a word is asked for, and the home is left when it gives none",
+        name: "an acknowledgement is requested, and the offer goes elsewhere without one",
         has_others: true,
         events: &[
-            (100, Event::Looked(Step::Wait)),
-            (150, Event::Looked(Step::Ask)),
-            (300, Event::Looked(Step::Wait)),
-            (350, Event::Looked(Step::Leave)),
+            (100, Event::Checked(Step::Wait)),
+            (150, Event::Checked(Step::Ask)),
+            (300, Event::Checked(Step::Wait)),
+            (350, Event::Checked(Step::Leave)),
         ],
     },
     Case {
-        name: "a home that says that it waits is not left, and asked again a second later",
+        name: "an acknowledged offer stays, and is sent again a second later",
         has_others: true,
         events: &[
-            (150, Event::Looked(Step::Ask)),
+            (150, Event::Checked(Step::Ask)),
             (170, Event::Queued),
-            (1_100, Event::Looked(Step::Wait)),
-            (1_170, Event::Looked(Step::Ask)),
-            (1_370, Event::Looked(Step::Leave)),
+            (1_100, Event::Checked(Step::Wait)),
+            (1_170, Event::Checked(Step::Ask)),
+            (1_370, Event::Checked(Step::Leave)),
         ],
     },
     Case {
-        name: "where there is no other home, its link is doubted, and it is said again each second",
+        name: "the only home's link is replaced, and the offer is sent again every second",
         has_others: false,
         events: &[
-            (100, Event::Looked(Step::Wait)),
-            (150, Event::Looked(Step::Ask)),
-            (300, Event::Looked(Step::Wait)),
-            (350, Event::Looked(Step::Doubt)),
-            (1_000, Event::Looked(Step::Wait)),
-            (1_350, Event::Looked(Step::Ask)),
-            (1_550, Event::Looked(Step::Doubt)),
+            (100, Event::Checked(Step::Wait)),
+            (150, Event::Checked(Step::Ask)),
+            (300, Event::Checked(Step::Wait)),
+            (350, Event::Checked(Step::Doubt)),
+            (1_000, Event::Checked(Step::Wait)),
+            (1_350, Event::Checked(Step::Ask)),
+            (1_550, Event::Checked(Step::Doubt)),
         ],
     },
     Case {
-        name: "the only home that says that it waits is asked again a second later",
+        name: "an offer acknowledged by the only home is sent again a second later",
         has_others: false,
         events: &[
-            (150, Event::Looked(Step::Ask)),
+            (150, Event::Checked(Step::Ask)),
             (170, Event::Queued),
-            (1_100, Event::Looked(Step::Wait)),
-            (1_170, Event::Looked(Step::Ask)),
+            (1_100, Event::Checked(Step::Wait)),
+            (1_170, Event::Checked(Step::Ask)),
         ],
     },
 ];
 
 #[test]
-fn an_offer_leaves_a_home_that_gives_no_word_where_another_can_have_it() {
+fn an_offer_leaves_a_home_that_does_not_reply_if_there_is_another_shard() {
     for case in CASES {
         let start = Instant::now();
         let mut wait = Wait::begin(start);
         for (at, event) in case.events {
             let now = start + Duration::from_millis(*at);
             match event {
-                Event::Looked(step) => {
-                    let found = wait.step(case.has_others, now);
-                    assert_eq!(found, *step, "{}, at {at} ms", case.name);
+                Event::Checked(step) => {
+                    let step_taken = wait.step(case.has_others, now);
+                    assert_eq!(step_taken, *step, "{}, at {at} ms", case.name);
                 }
                 Event::Queued => wait.queued(now),
             }
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn a_silent_shard_rests_longer_each_time_until_it_gives_a_word() {
+fn a_silent_shard_is_excluded_longer_each_time_until_it_replies() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     let shard = Shard::whole("echo".into());
     let mut answering = Answering::default();
     assert!(!answering.rests(&shard, start));
     answering.note_silence(&shard, start);
-    // Another offer of the same time.
+    // Another offer that was sent before the exclusion.
     answering.note_silence(&shard, at(100));
     assert!(answering.rests(&shard, at(499)));
     assert!(!answering.rests(&shard, at(500)));
--- a/cypressvane/src/coordination/policy.rs
+++ b/cypressvane/src/coordination/policy.rs
@@ -1,13 +1,13 @@
-//! Policy programs: who goes first, who waits, who is refused.
+//! Policy programs, with which operators order, delay or refuse requests.
 //!
 //! A program defines `fn decide(request, queue)` and ends with one of
 //!
-//! - `wait()`: in the order of its tier and deadline;
-//! - `wait(priority)`: within its tier, a larger priority goes first;
-//! - `first()`: at the head of its tier;
-//! - `refuse("why")`: at once, without having run.
+//! - `wait()`: queue by tier and deadline;
+//! - `wait(priority)`: queue by priority within the tier, larger ones first;
+//! - `first()`: queue at the head of the tier;
+//! - `refuse("why")`: refuse at once, without running the request.
 //!
-//! The program chooses inside the tier; it cannot lift a request above a higher tier.
+//! A program orders requests within their tier; it cannot move a request ahead of a higher tier.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,24 +17,24 @@
 use crate::state::fleet::Fleet;
 use crate::state::name::Name;
 
-/// Longest source of a program, in bytes.
+/// Maximum source length of a program, in bytes.
 const SOURCE_BYTES_MAX: usize = 16 * 1024;
-/// Most operations of one decision; an ordinary program takes under 200.
+/// Maximum number of operations per decision; an ordinary program takes under 200.
 const OPERATIONS_MAX: u64 = 10_000;
-/// Deepest nesting of calls.
+/// Maximum call depth.
 const CALL_LEVELS_MAX: usize = 16;
-/// Deepest nesting of expressions.
+/// Maximum expression depth.
 const EXPRESSION_DEPTH_MAX: usize = 32;
-/// Longest string a program may build, in bytes.
+/// Maximum length of a string built by a program, in bytes.
 const STRING_BYTES_MAX: usize = 4 * 1024;
-/// Longest array or map a program may build.
+/// Maximum size of an array or map built by a program.
 const COLLECTION_MAX: usize = 256;
-/// The function that a program defines.
+/// Name of the function that a program must define.
 const ENTRY: &str = "decide";
-/// Largest priority either way; `first()` is one above it.
+/// Maximum absolute priority; `first()` is one above it.
 const PRIORITY_MAX: i64 = 1_000_000;
 
-/// What a program is told of a request.
+/// The request as passed to a program.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Client account.
@@ -49,7 +49,7 @@
     pub path: String,
     /// Estimated prompt tokens.
     pub prompt_tokens: u32,
-    /// Most answer tokens.
+    /// Maximum number of answer tokens.
     pub answer_tokens: u32,
     /// Milliseconds until its deadline.
     pub deadline_ms: u64,
@@ -57,7 +57,7 @@
     pub stream: bool,
 }
 
-/// What a program is told of the service's queue, as this host last heard it.
+/// The service's queue as passed to a program: only the part that this host keeps as a home, which may be nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Queue {
     /// Waiting requests.
@@ -66,31 +66,31 @@
     pub waiting_tokens: u64,
     /// Running requests.
     pub running: u64,
-    /// Backend servers that take work.
+    /// Backend servers that accept requests.
     pub servers: u64,
 }
 
-/// What a program decided.
+/// A program's decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Waits in its tier; a larger priority goes first.
+    /// Queue the request; a larger priority goes first within its tier.
     Wait {
         /// From −1,000,000 to 1,000,001.
         priority: i64,
     },
-    /// Is refused.
+    /// Refuse the request.
     Refuse {
-        /// What the caller is told.
+        /// Message to the caller.
         why: String,
     },
 }
 
 impl Verdict {
-    /// The order of the tier alone.
+    /// Queue by tier and deadline alone.
     pub const PLAIN: Self = Self::Wait { priority: 0 };
 }
 
-/// Why a program is rejected or failed.
+/// Error of a program, at compilation or at run time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The source is too long.
@@ -110,7 +110,7 @@
         line: usize,
         /// Column, from 1.
         column: usize,
-        /// What the compiler said.
+        /// The compiler's message.
         message: String,
     },
     /// The program has no `decide(request, queue)`.
@@ -124,7 +124,7 @@
     Failed {
         /// The policy.
         policy: Name,
-        /// What went wrong, with line and column.
+        /// The error message, with line and column.
         message: String,
     },
 }
@@ -145,10 +145,10 @@
 }
 
 impl Set {
-    /// Compiles every program of a configuration and tries each once.
+    /// Compiles every program of a configuration and runs each once on an example request.
     ///
     /// # Errors
-    /// Names the first program that is broken, with line and column.
+    /// Returns an error for the first program that fails, with line and column where known.
     pub fn compile(fleet: &Fleet) -> Result<Self, Error> {
         let mut set = Self {
             engine: engine(),
@@ -188,10 +188,10 @@
         Ok(ast)
     }
 
-    /// Runs a program on a request; an unknown policy decides nothing.
+    /// Runs a program on a request; an unknown policy gives [`Verdict::PLAIN`].
     ///
     /// # Errors
-    /// Says why the program failed: the caller falls back to the order of the tier.
+    /// Returns why the program failed; the caller of this function then falls back to [`Verdict::PLAIN`].
     pub fn decide(&self, policy: &Name, request: &Request, queue: Queue) -> Result<Verdict, Error> {
         let Some(ast) = self.programs.get(policy) else {
             return Ok(Verdict::PLAIN);
@@ -213,7 +213,7 @@
     }
 }
 
-/// A request to try a new program on.
+/// An example request, on which new programs are tried.
 fn example(fleet: &Fleet) -> Request {
     let name = |name: Option<&Name>| name.cloned().unwrap_or_else(|| Name::from("example"));
     Request {
--- a/cypressvane/src/coordination/shard.rs
+++ b/cypressvane/src/coordination/shard.rs
@@ -1,7 +1,7 @@
-//! How a large pool is cut into shards, each with a home of its own.
+//! Sharding of large pools; each shard has its own home.
 //!
-//! In: the backend servers of a service as the host list has them. Out: the service's shards, the servers
-//! of each, and the shard that a request is offered to.
+//! Input: a service's backend servers from the host list. Output: the service's shards, the servers of each, and the
+//! shard that a request is offered to.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
@@ -10,25 +10,26 @@
 use crate::state::name::Name;
 use crate::state::units::real;
 
-/// Most backend servers for which a pool stays whole. A home of 0.12 of a core was 0.1 s behind with its work
-/// from some 1,000 offers a second on, and a rush makes about 300 to 450 for each 32 model engines. Beyond,
-/// pools are cut into halves, so that a shard has 16 to 32 of them on the mean: enough that a few slow or dead
-/// ones leave it most of its speed.
+/// Maximum number of backend servers of a pool that is not sharded.
+///
+/// A home with 0.12 of a core was 0.1 s behind schedule from about 1,000 offers per second on, and a load peak produces
+/// about 300 to 450 for every 32 model engines. Larger pools are repeatedly halved, so that a shard has 16 to 32
+/// servers on average: enough to keep most of its speed when a few of them are slow or dead.
 const SERVERS_MAX: usize = 32;
 
-/// One of the equal parts into which the backend servers of a service are dealt.
+/// One of the shards into which a service's backend servers are divided by hash.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Shard {
     /// The service.
     pub service: Name,
-    /// Its number, from 0.
+    /// Its number, starting at 0.
     pub number: u16,
-    /// How many shards the service has; a power of two.
+    /// Number of shards of the service; a power of two.
     pub count: u16,
 }
 
 impl Shard {
-    /// The only shard of a service whose pool stays whole.
+    /// The only shard of a service whose pool is not sharded.
     #[must_use]
     pub fn whole(service: Name) -> Self {
         Self {
@@ -38,13 +39,14 @@
         }
     }
 
-    /// Whether its pool has others beside it.
+    /// Whether the service has other shards.
     #[must_use]
     pub fn has_others(&self) -> bool {
         self.count > 1
     }
 
-    /// What its home is chosen for: the same as long as there is such a number, however many there are.
+    /// Subject for which its home is chosen. It does not contain the count, so a change of the count moves no home of a
+    /// remaining number.
     #[must_use]
     pub fn subject(&self) -> String {
         if self.number == 0 {
@@ -53,7 +55,7 @@
         format!("{}/{}", self.service, self.number)
     }
 
-    /// Another shard of the same service; numbers go round.
+    /// Another shard of the same service; `number` wraps around.
     #[must_use]
     pub fn other(&self, number: u16) -> Self {
         Self {
@@ -62,45 +64,45 @@
         }
     }
 
-    /// Whether a backend server of the service belongs to it.
+    /// Whether a backend server of the service belongs to this shard.
     #[must_use]
     pub fn has(&self, server: &str) -> bool {
         number_of(server, self.count) == self.number
     }
 }
 
-/// The shards of a service, with what each can carry.
+/// The shards of a service, with the capacity of each.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cut {
     service: Name,
-    /// Places of the servers of each shard that are not leaving.
-    places: Vec<u64>,
+    /// Slots of each shard's servers that are not leaving.
+    slots: Vec<u64>,
 }
 
 impl Cut {
-    /// The shards of a service that has these servers.
+    /// Divides a service's servers into shards.
     ///
-    /// All hosts that see the same list cut alike. Those whose lists differ may cut otherwise for a moment;
-    /// a server then has two homes that do not know of each other's grants, as while a home moves.
+    /// Hosts with the same host list get the same shards. Hosts whose lists differ for a moment may get different ones;
+    /// a server then has two homes that do not know each other's grants, as while a home moves.
     #[must_use]
     pub fn of(service: Name, specs: &[Spec]) -> Self {
         let count = specs.len().div_ceil(SERVERS_MAX).next_power_of_two();
         let count = u16::try_from(count).unwrap_or(1 << 15);
-        let mut places = vec![0; count.into()];
+        let mut slots = vec![0; count.into()];
         for spec in specs.iter().filter(|spec| !spec.leaving) {
-            places[usize::from(number_of(&spec.name, count))] += u64::from(spec.slots.max(1));
+            slots[usize::from(number_of(&spec.name, count))] += u64::from(spec.slots.max(1));
         }
-        Self { service, places }
+        Self { service, slots }
     }
 
-    /// How many shards there are.
+    /// Number of shards.
     #[must_use]
     pub fn count(&self) -> u16 {
-        // `of` makes no more than fit.
-        u16::try_from(self.places.len()).unwrap_or(u16::MAX)
+        // `of` creates at most 2^15 shards.
+        u16::try_from(self.slots.len()).unwrap_or(u16::MAX)
     }
 
-    /// All of the shards.
+    /// All shards.
     pub fn shards(&self) -> impl Iterator<Item = Shard> + '_ {
         (0..self.count()).map(|number| self.shard(number))
     }
@@ -111,30 +113,30 @@
         self.shard(number_of(server, self.count()))
     }
 
-    /// The shard at `point`, from 0 to 1, of the line on which each has a length as its places.
+    /// Picks a shard by `point`, from 0 to 1, weighted by slots.
     ///
-    /// A request that comes back brings the same point, so that the home that refused it knows it again.
-    /// Shards that are `avoided` have no length, unless all that have places are.
+    /// A retried request has the same point, so that it is offered to the home that refused it, which recognises it.
+    /// Shards for which `excluded` holds have no weight, unless it holds for all shards with slots.
     #[must_use]
-    pub fn pick(&self, point: f64, avoided: impl Fn(&Shard) -> bool) -> Shard {
-        let is_avoided = |number: &u16| avoided(&self.shard(*number));
-        let mut lengths = self.places.clone();
-        for number in (0..self.count()).filter(is_avoided) {
-            lengths[usize::from(number)] = 0;
+    pub fn pick(&self, point: f64, excluded: impl Fn(&Shard) -> bool) -> Shard {
+        let is_excluded = |number: &u16| excluded(&self.shard(*number));
+        let mut weights = self.slots.clone();
+        for number in (0..self.count()).filter(is_excluded) {
+            weights[usize::from(number)] = 0;
         }
-        if lengths.iter().all(|length| *length == 0) {
-            lengths.clone_from(&self.places);
+        if weights.iter().all(|weight| *weight == 0) {
+            weights.clone_from(&self.slots);
         }
-        let mut left = point * real(lengths.iter().sum());
+        let mut remaining = point * real(weights.iter().sum());
         for number in 0..self.count() {
-            let length = real(lengths[usize::from(number)]);
-            if left < length {
+            let weight = real(weights[usize::from(number)]);
+            if remaining < weight {
                 return self.shard(number);
             }
-            left -= length;
+            remaining -= weight;
         }
-        // Without any place, or where rounding has left something over.
-        let last = lengths.iter().rposition(|length| *length > 0);
+        // Reached if there are no slots, or by a rounding error.
+        let last = weights.iter().rposition(|weight| *weight > 0);
         self.shard(last.and_then(|last| u16::try_from(last).ok()).unwrap_or(0))
     }
 
@@ -147,7 +149,7 @@
     }
 }
 
-/// The number of a server's shard: when the count is doubled, half of each shard stays where it is.
+/// The number of a server's shard. When the count doubles, about half of each shard's servers keep their number.
 fn number_of(server: &str, count: u16) -> u16 {
     if count <= 1 {
         return 0;
--- a/cypressvane/src/coordination/shard_tests.rs
+++ b/cypressvane/src/coordination/shard_tests.rs
@@ -1,4 +1,4 @@
-//! How pools are cut, and where offers go.
+//! Division of pools into shards, and the choice of a shard for an offer.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -56,7 +56,7 @@
 ];
 
 #[test]
-fn pools_are_cut_by_the_number_of_their_servers() {
+fn the_number_of_shards_depends_on_the_number_of_servers() {
     for case in CASES {
         let cut = Cut::of("echo".into(), &specs(case.servers));
         assert_eq!(cut.count(), case.shards, "{} servers", case.servers);
@@ -64,16 +64,16 @@
 }
 
 #[test]
-fn each_server_has_one_shard_and_half_stay_when_the_count_doubles() {
+fn each_server_has_one_shard_and_stays_or_moves_to_a_new_one_when_the_count_doubles() {
     let specs = specs(160);
     let cut = Cut::of("echo".into(), &specs);
     for spec in &specs {
-        let having: Vec<Shard> = cut.shards().filter(|shard| shard.has(&spec.name)).collect();
-        assert_eq!(having, [cut.shard_of(&spec.name)]);
-        let number = having[0].number;
+        let owners: Vec<Shard> = cut.shards().filter(|shard| shard.has(&spec.name)).collect();
+        assert_eq!(owners, [cut.shard_of(&spec.name)]);
+        let number = owners[0].number;
         let finer = Shard {
             count: 16,
-            ..having[0].clone()
+            ..owners[0].clone()
         };
         let stays = finer.has(&spec.name);
         let goes = finer.other(number + 8).has(&spec.name);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn no_shard_of_many_servers_is_left_with_few_or_given_too_many() {
+fn shards_of_large_pools_are_of_similar_size() {
     for servers in [90, 160, 1_000, 3_400] {
         let specs = specs(servers);
         let cut = Cut::of("echo".into(), &specs);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_point_finds_the_same_shard_and_points_are_spread_by_places() {
+fn a_point_always_gives_the_same_shard_and_points_are_spread_by_slots() {
     let specs = specs(160);
     let cut = Cut::of("echo".into(), &specs);
     let mut offers: HashMap<u16, u32> = HashMap::new();
@@ -119,19 +119,19 @@
 }
 
 #[test]
-fn avoided_shards_get_nothing_unless_all_are_avoided() {
-    // As many bits as shards; a set one stands for an avoided shard.
-    fn property(point: u16, avoided: u8) -> bool {
+fn excluded_shards_get_no_offers_unless_all_are_excluded() {
+    // `excluded` has one bit per shard, which is set if the shard is excluded.
+    fn property(point: u16, excluded: u8) -> bool {
         let cut = Cut::of("echo".into(), &specs(160));
-        let is_avoided = |shard: &Shard| avoided >> shard.number & 1 == 1;
-        let shard = cut.pick(f64::from(point) / 65_536.0, is_avoided);
-        avoided == u8::MAX || !is_avoided(&shard)
+        let is_excluded = |shard: &Shard| excluded >> shard.number & 1 == 1;
+        let shard = cut.pick(f64::from(point) / 65_536.0, is_excluded);
+        excluded == u8::MAX || !is_excluded(&shard)
     }
     drawn::quickcheck().quickcheck(property as fn(u16, u8) -> bool);
 }
 
 #[test]
-fn a_service_whose_servers_all_leave_still_has_a_shard_to_ask() {
+fn a_service_whose_servers_are_all_leaving_still_has_a_shard() {
     let mut specs = specs(40);
     for spec in &mut specs {
         spec.leaving = true;
