--- a/cypressvane/src/coordination/quarantine/mod.rs
+++ b/cypressvane/src/coordination/quarantine/mod.rs
@@ -1,13 +1,13 @@
-//! Requests under which servers end, known as queries of death: which are kept from the servers.
+//! Quarantine of requests under which servers end, also known as queries of death.
 //!
-//! Each end of a server makes suspects of all requests that ran there, most of which had nothing to do with
-//! it. A whole answer clears a suspect; one under which several servers ended, one after the other and without
-//! a whole answer between, is kept from all servers until a time is over or it is released.
+//! The end of a server makes a suspect of every request that ran there, most of which did not cause it. A whole
+//! answer clears a suspect. A request under which several servers ended, one after the other and without a whole
+//! answer in between, is kept from all servers until the quarantine expires or it is released.
 //!
-//! What that buys: a caller that sends such a request again and again costs the fleet as many servers as the
-//! bound says, and not one with each attempt. What it may cost: an innocent request that was there each
-//! time is refused too, until it is released. One that many callers send is there at many ends, so a request that was
-//! cleared before is kept back after twice as many.
+//! The benefit: a caller that repeats such a request costs the fleet as many servers as the bound allows, instead of
+//! one per attempt. The cost: an innocent request that ran at each of these servers is refused too, until it is
+//! released. A request that many callers send is present at many ends, so it takes twice as many ends to quarantine a
+//! request that was cleared before.
 
 mod ruling;
 mod suspect;
@@ -22,62 +22,62 @@
 pub(crate) use ruling::{Ruling, Rulings};
 pub(crate) use suspect::{End, Suspect};
 
-/// Most suspects that are remembered: 3,400 servers of which a data centre's 200 end at once with 20
-/// requests each. At 250 bytes each they take 1 MB.
+/// Most suspects that are remembered. This suits a fleet of 3,400 servers of which the 200 in one data centre end at
+/// once with 20 requests each. At 250 bytes each the suspects take 1 MB.
 const SUSPECTS_MAX: usize = 4_096;
-/// Most suspects of one account, so that one cannot push out all others.
+/// Most suspects of one account, so that one account cannot evict all others.
 const SUSPECTS_OF_ACCOUNT_MAX: usize = 512;
-/// Most requests that are remembered as cleared; at 60 bytes each they take 0.5 MB.
+/// Most cleared requests that are remembered; at 60 bytes each they take 0.5 MB.
 const CLEARED_MAX: usize = 8_192;
-/// How many times as many ends speak against a request that was cleared before.
+/// Factor by which the number of ends that quarantines a request is higher if the request was cleared before.
 const CLEARED_FACTOR: usize = 2;
 
-/// When a request is kept from the servers, and for how long.
+/// When a request is quarantined, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Bounds {
-    /// Servers that end under a request before it is kept from all; `None` where none ever is.
+    /// Servers that end under a request before it is quarantined; `None` if no request ever is.
     pub(crate) ends: Option<usize>,
-    /// How long what was seen is remembered.
+    /// How long suspects, cleared requests and rulings are remembered.
     pub(crate) kept: Duration,
 }
 
-/// What operators are told of a request.
+/// What operators see of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Subject {
-    /// Its client account; `None` on a public route.
+    /// The client account; `None` on a public route.
     pub(crate) account: Option<Name>,
-    /// The beginning of its path.
+    /// The beginning of the path.
     pub(crate) path: Name,
 }
 
-/// What the end of a server has shown of a request.
+/// Result of recording the end of a server under a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Shown {
-    /// Nothing new.
+    /// Nothing changed.
     Nothing,
-    /// So many servers have ended under it.
+    /// The request is a suspect; this many servers have ended under it.
     Suspect(usize),
-    /// It is kept from the servers from now on.
+    /// The request is quarantined from now on.
     Settled(Ruling),
 }
 
-/// What a whole answer has shown of a request.
+/// Result of recording a whole answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Cleared {
-    /// It was no suspect.
+    /// The request was no suspect.
     Nothing,
-    /// It is no suspect any more.
+    /// The request is no longer a suspect.
     Suspicion,
-    /// It is let through again.
+    /// The request is released from quarantine.
     Ruling(Ruling),
 }
 
-/// What a host knows of requests under which servers end.
+/// A host's state of suspects, cleared requests and rulings.
 #[derive(Debug)]
 pub(crate) struct Quarantine {
     bounds: Bounds,
     suspects: HashMap<Fingerprint, Suspect>,
-    /// When suspects were answered whole last, also those of other hosts.
+    /// When suspects were last answered whole, on this host or another.
     cleared: HashMap<Fingerprint, Instant>,
     rulings: Rulings,
 }
@@ -92,17 +92,17 @@
         }
     }
 
-    /// Whether nothing is known of any request, so that none needs to be looked up.
+    /// Whether there are no suspects and no rulings, so that no request needs a lookup.
     pub(crate) fn is_calm(&self) -> bool {
         self.suspects.is_empty() && self.rulings.is_empty()
     }
 
-    /// Whether a request is kept from the servers.
+    /// Whether a request is quarantined.
     pub(crate) fn holds(&self, fingerprint: &Fingerprint, now: Instant) -> bool {
         self.rulings.holds(fingerprint, now)
     }
 
-    /// Takes in that a server ended while it ran a request.
+    /// Records that a server ended while it ran a request.
     pub(crate) fn ended(
         &mut self,
         fingerprint: Fingerprint,
@@ -110,16 +110,16 @@
         end: End,
         now: Instant,
     ) -> Shown {
-        let Some(most) = self.bounds.ends else {
+        let Some(ends_min) = self.bounds.ends else {
             return Shown::Nothing;
         };
         if self.holds(&fingerprint, now) {
             return Shown::Nothing;
         }
-        let most = if self.was_cleared(&fingerprint, now) {
-            most * CLEARED_FACTOR
+        let ends_min = if self.was_cleared(&fingerprint, now) {
+            ends_min * CLEARED_FACTOR
         } else {
-            most
+            ends_min
         };
         let is_new = !self.suspects.contains_key(&fingerprint);
         if is_new {
@@ -130,18 +130,18 @@
         if !suspect.add(end) {
             return Shown::Nothing;
         }
-        if !suspect.is_guilty(most) {
-            return Shown::Suspect(suspect.ends_apart());
+        if !suspect.ends_servers(ends_min) {
+            return Shown::Suspect(suspect.distinct_ends());
         }
         let servers = suspect.servers();
         self.suspects.remove(&fingerprint);
         Shown::Settled(
             self.rulings
-                .settle(fingerprint, subject.clone(), servers, now),
+                .quarantine(fingerprint, subject.clone(), servers, now),
         )
     }
 
-    /// Takes in that a request was answered whole.
+    /// Records that a request was answered whole.
     pub(crate) fn answered(&mut self, fingerprint: &Fingerprint, now: Instant) -> Cleared {
         let was_suspect = self.suspects.contains_key(fingerprint);
         if was_suspect {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes in that a suspect of another host was answered whole there.
+    /// Records that a suspect was answered whole, on this host or another.
     pub(crate) fn forgive(&mut self, fingerprint: &Fingerprint, now: Instant) {
         self.suspects.remove(fingerprint);
         self.cleared.insert(*fingerprint, now);
@@ -166,38 +166,38 @@
         }
     }
 
-    /// Lets a request through again; `None` where it was not kept from the servers.
+    /// Releases a request; `None` if it was not quarantined.
     pub(crate) fn release(&mut self, fingerprint: &Fingerprint, now: Instant) -> Option<Ruling> {
         self.suspects.remove(fingerprint);
         self.rulings.release(fingerprint, now)
     }
 
-    /// Takes in what another host has ruled; tells whether that is news.
+    /// Merges another host's ruling; returns whether it was news.
     pub(crate) fn hear(&mut self, ruling: Ruling, now: Instant) -> bool {
         let fingerprint = ruling.fingerprint;
-        let is_news = self.rulings.take(ruling, now);
+        let is_news = self.rulings.merge(ruling, now);
         if is_news {
             self.suspects.remove(&fingerprint);
         }
         is_news
     }
 
-    /// All rulings, those that let a request through again included.
+    /// Returns all rulings, including those that released a request.
     pub(crate) fn rulings(&self) -> Vec<Ruling> {
         self.rulings.all()
     }
 
-    /// All suspects, each with its fingerprint.
+    /// Returns all suspects with their fingerprints.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = (&Fingerprint, &Suspect)> {
         self.suspects.iter()
     }
 
-    /// The same number on two hosts that know the same rulings.
+    /// Returns a digest that is the same on hosts with the same rulings.
     pub(crate) fn digest(&self) -> u64 {
         self.rulings.digest()
     }
 
-    /// Forgets what is too old; gives how many requests are still kept from the servers.
+    /// Removes expired entries; returns how many requests are still quarantined.
     pub(crate) fn sweep(&mut self, now: Instant) -> usize {
         let kept = self.bounds.kept;
         self.suspects.retain(|_, suspect| {
@@ -208,23 +208,25 @@
         self.cleared
             .retain(|_, at| now.saturating_duration_since(*at) < kept);
         self.rulings.sweep(now);
-        self.rulings.held()
+        self.rulings.quarantined()
     }
 
-    /// Whether a request was answered whole after a server had ended under it, as long as that is remembered.
+    /// Whether a request was answered whole after a server had ended under it, within the time that this is
+    /// remembered.
     fn was_cleared(&self, fingerprint: &Fingerprint, now: Instant) -> bool {
         let at = self.cleared.get(fingerprint);
         at.is_some_and(|at| now.saturating_duration_since(*at) < self.bounds.kept)
     }
 
-    /// Forgets the oldest suspect of an account that has too many, or of all.
+    /// Evicts the oldest suspect of the account if the account has too many, or of all accounts if there are too
+    /// many.
     fn make_room(&mut self, subject: &Subject) {
         let of_account = |suspect: &Suspect| suspect.subject.account == subject.account;
-        let theirs = self.suspects.values().filter(|it| of_account(it)).count();
-        let oldest = if theirs >= SUSPECTS_OF_ACCOUNT_MAX {
-            self.oldest(of_account)
+        let count = self.suspects.values().filter(|it| of_account(it)).count();
+        let oldest = if count >= SUSPECTS_OF_ACCOUNT_MAX {
+            self.oldest_matching(of_account)
         } else if self.suspects.len() >= SUSPECTS_MAX {
-            self.oldest(|_| true)
+            self.oldest_matching(|_| true)
         } else {
             None
         };
@@ -233,9 +235,9 @@
         }
     }
 
-    fn oldest(&self, is_meant: impl Fn(&Suspect) -> bool) -> Option<Fingerprint> {
-        let meant = self.suspects.iter().filter(|(_, it)| is_meant(it));
-        let oldest = meant.min_by_key(|(_, suspect)| suspect.last());
+    fn oldest_matching(&self, predicate: impl Fn(&Suspect) -> bool) -> Option<Fingerprint> {
+        let matching = self.suspects.iter().filter(|(_, it)| predicate(it));
+        let oldest = matching.min_by_key(|(_, suspect)| suspect.last());
         oldest.map(|(fingerprint, _)| *fingerprint)
     }
 }
--- a/cypressvane/src/coordination/quarantine/ruling.rs
+++ b/cypressvane/src/coordination/quarantine/ruling.rs
@@ -1,4 +1,4 @@
-//! What hosts agree on: the requests that are kept from the servers, and those let through again.
+//! Rulings that hosts agree on: which requests are quarantined, and which were released.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use crate::state::fingerprint::Fingerprint;
 use crate::state::name::Name;
 
-/// Most rulings that are remembered: what one host tells another of them fits into one frame.
+/// Most rulings that are remembered, so that a message with all of them fits into one frame.
 const RULINGS_MAX: usize = 512;
 
-/// Whether a request is kept from the servers.
+/// Whether a request is quarantined.
 ///
-/// Versions of one request's ruling only grow, and the highest counts, so that hosts agree in whichever order
-/// they hear.
+/// The version of a request's ruling only grows and the highest one wins, so that hosts agree whatever the order in
+/// which they receive rulings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Ruling {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) subject: Subject,
-    /// Odd where it is kept from the servers, even where it was let through again.
+    /// Odd if the request is quarantined, even if it was released.
     pub(crate) version: u32,
-    /// The servers that ended under it.
+    /// Servers that ended under the request, or the first of them by name if they are many.
     pub(crate) servers: Vec<Name>,
-    /// Since when.
+    /// When the request was quarantined or released.
     pub(crate) since: Instant,
 }
 
 impl Ruling {
-    /// Whether the request is kept from the servers.
+    /// Whether the request is quarantined.
     pub(crate) fn holds(&self) -> bool {
         self.version % 2 == 1
     }
 
-    /// Whether it is younger than `kept`.
+    /// Whether the ruling is younger than `kept`.
     fn is_in_force(&self, kept: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.since) < kept
     }
@@ -63,8 +63,8 @@
         ruling.is_some_and(|ruling| ruling.holds() && ruling.is_in_force(self.kept, now))
     }
 
-    /// Keeps a request from the servers that was not.
-    pub(super) fn settle(
+    /// Quarantines a request that was not quarantined.
+    pub(super) fn quarantine(
         &mut self,
         fingerprint: Fingerprint,
         subject: Subject,
@@ -72,7 +72,7 @@
         now: Instant,
     ) -> Ruling {
         let before = self.newest.get(&fingerprint);
-        // The next odd number, also where one of an earlier time is still here.
+        // The next odd number, also after an expired ruling that was not swept yet.
         let version = before.map_or(1, |ruling| ruling.version + 1 + ruling.version % 2);
         let ruling = Ruling {
             fingerprint,
@@ -85,7 +85,7 @@
         ruling
     }
 
-    /// Lets a request through again; `None` where it was not kept.
+    /// Releases a request; `None` if it was not quarantined.
     pub(super) fn release(&mut self, fingerprint: &Fingerprint, now: Instant) -> Option<Ruling> {
         let ruling = self.newest.get_mut(fingerprint)?;
         if !ruling.holds() {
@@ -96,14 +96,14 @@
         Some(ruling.clone())
     }
 
-    /// Takes in another host's ruling; tells whether it is newer than the one known here.
-    pub(super) fn take(&mut self, ruling: Ruling, now: Instant) -> bool {
+    /// Merges another host's ruling; returns whether it is newer than the known one.
+    pub(super) fn merge(&mut self, ruling: Ruling, now: Instant) -> bool {
         if !ruling.is_in_force(self.kept, now) {
             return false;
         }
         match self.newest.get_mut(&ruling.fingerprint) {
             Some(known) if known.version >= ruling.version => {
-                // What is told later seems younger than it is.
+                // A ruling that was received later looks younger than it is, so the earlier time counts.
                 if known.version == ruling.version {
                     known.since = known.since.min(ruling.since);
                 }
@@ -120,15 +120,15 @@
         self.newest.values().cloned().collect()
     }
 
-    /// How many requests are kept from the servers.
-    pub(super) fn held(&self) -> usize {
-        let held = self.newest.values().filter(|ruling| ruling.holds());
-        held.count()
+    /// Returns how many requests are quarantined.
+    pub(super) fn quarantined(&self) -> usize {
+        let quarantined = self.newest.values().filter(|ruling| ruling.holds());
+        quarantined.count()
     }
 
     pub(super) fn digest(&self) -> u64 {
-        let each = self.newest.values();
-        each.fold(0, |digest, ruling| {
+        let rulings = self.newest.values();
+        rulings.fold(0, |digest, ruling| {
             let factor = 2 * u64::from(ruling.version) + 1;
             digest ^ ruling.fingerprint.prefix().wrapping_mul(factor)
         })
--- a/cypressvane/src/coordination/quarantine_tests.rs
+++ b/cypressvane/src/coordination/quarantine_tests.rs
@@ -1,4 +1,4 @@
-//! Histories of requests and of the servers that ended while they ran.
+//! Tests of the quarantine with histories of one request and of the servers that ended while it ran.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     ends: Some(3),
     kept: Duration::from_secs(600),
 };
-/// From a request's sending to the end of its server.
+/// Timeline from when a request is sent to the end of its server.
 const RUN: Duration = Duration::from_millis(50);
 
 fn request(body: &str) -> Fingerprint {
@@ -33,15 +33,15 @@
     }
 }
 
-/// Moments of a history, in milliseconds.
-struct Time(Instant);
+/// Start of a history; its times are in milliseconds from here.
+struct Timeline(Instant);
 
-impl Time {
+impl Timeline {
     fn at(&self, ms: u64) -> Instant {
         self.0 + Duration::from_millis(ms)
     }
 
-    /// A report of a server that ended then, after a run as long as most.
+    /// Returns a report that a server ended at `ms`, after the request had run for `RUN`.
     fn end(&self, id: u64, server: &str, ms: u64) -> End {
         let ended = self.at(ms);
         End {
@@ -53,36 +53,36 @@
     }
 }
 
-/// What a host sees or hears of one request.
+/// An event in the history of a request, as a host sees or receives it.
 enum Step {
-    /// A server ended, at a time; the number tells the report from others.
+    /// A server ended at a time; the number identifies the report.
     End(u64, &'static str, u64),
-    /// It was answered whole.
+    /// The request was answered whole.
     Answered(u64),
-    /// Another host says that it was answered whole.
+    /// Another host reports that the request was answered whole.
     AnsweredElsewhere(u64),
-    /// An operator released it.
+    /// An operator released the request.
     Released(u64),
 }
 
-/// A history, and what is to be done with its request.
+/// A history and whether the request is quarantined after it.
 struct Case {
     name: &'static str,
     steps: &'static [Step],
-    /// When it is looked up.
+    /// When the request is looked up.
     at: u64,
     holds: bool,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "a bystander",
+        name: "one end",
         steps: &[Ended(1, "a", 100)],
         at: 200,
         holds: false,
     },
     Case {
-        name: "twice a bystander, once by its own repeat",
+        name: "two ends, the second after a repeat",
         steps: &[Ended(1, "a", 100), Ended(2, "b", 300)],
         at: 400,
         holds: false,
@@ -94,7 +94,7 @@
         holds: true,
     },
     Case {
-        name: "one server that comes back each time",
+        name: "one server that restarts each time",
         steps: &[
             Ended(1, "a", 100),
             Ended(2, "a", 2_100),
@@ -104,13 +104,13 @@
         holds: true,
     },
     Case {
-        name: "copies at one server that ends once, seen by three hosts",
+        name: "one end that three hosts report",
         steps: &[Ended(1, "a", 100), Ended(2, "a", 101), Ended(3, "a", 104)],
         at: 200,
         holds: false,
     },
     Case {
-        name: "a report that is told three times",
+        name: "a report that is received three times",
         steps: &[
             Ended(1, "a", 100),
             Ended(1, "a", 1_300),
@@ -120,7 +120,7 @@
         holds: false,
     },
     Case {
-        name: "a rack that is lost with copies at four of its servers",
+        name: "a rack failure with copies on four of its servers",
         steps: &[
             Ended(1, "a", 100),
             Ended(2, "b", 100),
@@ -142,7 +142,7 @@
         holds: true,
     },
     Case {
-        name: "answered whole between",
+        name: "answered whole in between",
         steps: &[
             Ended(1, "a", 100),
             Ended(2, "b", 300),
@@ -165,7 +165,7 @@
         holds: false,
     },
     Case {
-        name: "cleared at another host, and three servers since",
+        name: "cleared on another host, and three servers since",
         steps: &[
             AnsweredElsewhere(400),
             Ended(2, "b", 1_300),
@@ -191,7 +191,7 @@
         holds: true,
     },
     Case {
-        name: "cleared so long ago that it does not count",
+        name: "cleared so long ago that it has expired",
         steps: &[
             Ended(1, "a", 100),
             Answered(400),
@@ -203,7 +203,7 @@
         holds: true,
     },
     Case {
-        name: "a copy that was under way is answered whole",
+        name: "a copy still running is answered whole",
         steps: &[
             Ended(1, "a", 100),
             Ended(2, "b", 300),
@@ -214,7 +214,7 @@
         holds: false,
     },
     Case {
-        name: "told out of order",
+        name: "reports received out of order",
         steps: &[Ended(3, "c", 500), Ended(1, "a", 100), Ended(2, "b", 300)],
         at: 500,
         holds: true,
@@ -245,13 +245,13 @@
         holds: true,
     },
     Case {
-        name: "the time is over",
+        name: "the quarantine has expired",
         steps: &[Ended(1, "a", 100), Ended(2, "b", 300), Ended(3, "c", 500)],
         at: 600_600,
         holds: false,
     },
     Case {
-        name: "an end so long ago that it does not count",
+        name: "an end so long ago that it has expired",
         steps: &[
             Ended(1, "a", 100),
             Ended(2, "b", 600_300),
@@ -263,9 +263,9 @@
 ];
 
 #[test]
-fn a_request_is_kept_from_the_servers_when_its_history_says_so() {
+fn several_separate_ends_quarantine_a_request() {
     for case in CASES {
-        let time = Time(Instant::now());
+        let time = Timeline(Instant::now());
         let mut quarantine = Quarantine::new(BOUNDS);
         let fingerprint = request("asked");
         for step in case.steps {
@@ -295,8 +295,8 @@
 }
 
 #[test]
-fn nothing_is_kept_back_where_no_bound_is_set() {
-    let time = Time(Instant::now());
+fn no_request_is_quarantined_without_a_bound() {
+    let time = Timeline(Instant::now());
     let mut quarantine = Quarantine::new(Bounds {
         ends: None,
         ..BOUNDS
@@ -314,8 +314,8 @@
     assert!(quarantine.is_calm());
 }
 
-/// A quarantine that has settled one request.
-fn settled(time: &Time, fingerprint: Fingerprint) -> (Quarantine, Ruling) {
+/// Returns a quarantine in which `fingerprint` is quarantined, and the ruling.
+fn quarantine_with_ruling(time: &Timeline, fingerprint: Fingerprint) -> (Quarantine, Ruling) {
     let mut quarantine = Quarantine::new(BOUNDS);
     for (id, server) in [(1, "a"), (2, "b"), (3, "c")] {
         let ms = 200 * id;
@@ -329,13 +329,13 @@
 }
 
 #[test]
-fn hosts_agree_in_whichever_order_they_hear() {
-    // Whether each of three rulings is heard, and in which order, twice or not.
+fn hosts_agree_whatever_the_order_of_rulings() {
+    // The order in which another host receives three rulings, some of them repeatedly.
     #[allow(clippy::needless_pass_by_value, reason = "quickcheck takes values")]
     fn agree(order: Vec<u8>) -> bool {
-        let time = Time(Instant::now());
+        let time = Timeline(Instant::now());
         let fingerprint = request("asked");
-        let (mut host, first) = settled(&time, fingerprint);
+        let (mut host, first) = quarantine_with_ruling(&time, fingerprint);
         let Cleared::Ruling(second) = host.answered(&fingerprint, time.at(700)) else {
             return false;
         };
@@ -364,21 +364,21 @@
 }
 
 #[test]
-fn an_expired_ruling_is_not_taken_up_again() {
-    let time = Time(Instant::now());
-    let (_, ruling) = settled(&time, request("asked"));
+fn an_expired_ruling_is_not_merged() {
+    let time = Timeline(Instant::now());
+    let (_, ruling) = quarantine_with_ruling(&time, request("asked"));
     let mut other = Quarantine::new(BOUNDS);
     assert!(!other.hear(ruling, time.at(700_000)));
     assert!(other.is_calm());
 }
 
 #[test]
-fn no_innocent_is_kept_back_and_no_guilty_one_runs_on() {
-    // A fleet of servers that each run a few requests; each step sends a guilty one to a server, which ends.
-    // Innocent ones that were there are sent again to another server, and answered if that stays up.
+fn only_the_request_that_ends_servers_is_quarantined() {
+    // A fleet of servers that each run a few requests. Each step sends a request that ends servers to one of them,
+    // which ends. Innocent requests that ran there are sent to another server, which answers them.
     fn holds(steps: Vec<(u8, u8)>) -> bool {
         const SERVERS: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
-        let time = Time(Instant::now());
+        let time = Timeline(Instant::now());
         let mut quarantine = Quarantine::new(BOUNDS);
         let guilty = request("guilty");
         let (mut ms, mut ends) = (1_000, 0);
@@ -406,11 +406,11 @@
 }
 
 #[test]
-fn a_ruling_names_a_few_servers_however_many_ended() {
-    let time = Time(Instant::now());
+fn a_ruling_names_at_most_eight_servers() {
+    let time = Timeline(Instant::now());
     let mut quarantine = Quarantine::new(BOUNDS);
     let fingerprint = request("asked");
-    // Copies that were sent together, and one more.
+    // Copies that were sent at the same time, followed by one that is sent after they ended.
     for id in 0..40 {
         let server = format!("server-{id}");
         let end = time.end(id, &server, 100);
@@ -425,8 +425,8 @@
 }
 
 #[test]
-fn one_account_pushes_out_its_own_suspects_only() {
-    let time = Time(Instant::now());
+fn an_account_evicts_only_its_own_suspects() {
+    let time = Timeline(Instant::now());
     let mut quarantine = Quarantine::new(BOUNDS);
     let other = Subject {
         account: Some("graziers".into()),
@@ -438,8 +438,8 @@
         time.end(0, "a", 100),
         time.at(100),
     );
-    let (settled_one, ruling) = settled(&time, request("settled"));
-    assert!(!settled_one.is_calm());
+    let (quarantine_of_other, ruling) = quarantine_with_ruling(&time, request("settled"));
+    assert!(!quarantine_of_other.is_calm());
     quarantine.hear(ruling, time.at(600));
     for id in 1..=3 * SUSPECTS_OF_ACCOUNT_MAX as u64 {
         let body = format!("body {id}");
--- a/cypressvane/src/coordination/rollout/evidence.rs
+++ b/cypressvane/src/coordination/rollout/evidence.rs
@@ -1,7 +1,8 @@
-//! What the answers of a new version say beside those of the old one: a sequential test by route.
+//! Compares the answers of a new version with those of the old one by a sequential test for each route.
 //!
-//! Page's CUSUM over the log-likelihood ratio of "as good as the old version" against "worse by `WORSE`". It needs no
-//! number of answers fixed in advance, and sees a fault that begins late as soon as one that was there at once.
+//! The test is Page's CUSUM over the log-likelihood ratio of "as good as the old version" against "bad more often by
+//! `BAD_RATE_INCREASE`". It needs no number of answers fixed in advance, and detects a fault that begins late as soon
+//! as one that was there from the start.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -12,112 +13,115 @@
 use crate::state::name::Name;
 use crate::state::units::real;
 
-/// How much larger a part of a bad version's answers is bad than of the old one's.
-const WORSE: f64 = 0.2;
-/// Sum from which a version is taken as bad. A good one reaches it once in e^10, 22,000, answers at most; a bad one of
-/// which each second answer fails after about 14 answers, one of which each third does after about 30.
-const ALARM: f64 = 10.0;
-/// Imagined answers of the old version before any was seen, half of one of them a failure.
-const PRIOR_ANSWERS: f64 = 10.0;
-/// What is left of the weight of each of the old version's answers after each further one: about seventy count, which
-/// are those of the last second or two.
-const RECENT_KEPT: f64 = 0.985;
-/// Part of the old version's answers that take longer than what counts as slow: a twentieth by the quantile, with
-/// the margin less.
+/// Difference that the test looks for, between the share of a bad version's answers that are bad and that of the old
+/// version's.
+const BAD_RATE_INCREASE: f64 = 0.2;
+/// Sum at which a version counts as bad. A good version reaches it at most once in e^10, or 22,000, answers. A bad
+/// version reaches it after about 14 answers if every second one fails, and after about 30 if every third one fails.
+const ALARM_THRESHOLD: f64 = 10.0;
+/// Weight of the prior for the old version's failure rate, in answers; half of one of them is a failure.
+const PRIOR_WEIGHT: f64 = 10.0;
+/// Factor by which the weight of each of the old version's answers decays with each further one. About seventy
+/// answers count, which are those of the last second or two.
+const FAILURE_RATE_DECAY: f64 = 0.985;
+/// Share of the old version's answers that take longer than the slow threshold: one in twenty by the quantile, and
+/// fewer by `SLOW_FACTOR`, which is the safety margin.
 const SLOW_SHARE: f64 = 0.05;
-/// The quantile of the old version's times with which the new one's are compared.
+/// Quantile of the old version's samples that the new version's are compared with.
 const QUANTILE: f64 = 0.95;
-/// How many times that an answer takes which is slow. Servers of one version differ in speed, and in their load.
-const SLOW_TIMES: f64 = 1.5;
-/// Time to the first token that is never slow: what a prompt of that length is believed to take anyway.
-const FIRST_MIN: f64 = 1.0;
-/// Mean pause between events that is never slow, in milliseconds: a reader does not notice it.
-const PAUSE_MIN_MS: f64 = 20.0;
-/// How much one report of a host raises a sum at most: what a host saw in a quarter of a second may have one cause of
-/// its own, a standstill of the host or of one server. Three reports at least make an alarm.
-const REPORT_MAX: f64 = 4.0;
-/// Times of the old version that are kept of each route: those of the last seconds, under the load of now.
-const KEPT: usize = 256;
-/// Least of them by which others are judged.
-const KEPT_MIN: usize = 20;
-/// How often answers that one server broke off count: a server that ends breaks off all that run there at once,
-/// which says as much as one of them.
-const BROKEN_EVERY: Duration = Duration::from_secs(1);
-/// Whole answers without which a version is not taken as good: of one that fails a fifth of its requests, this
-/// many are good in a row once in 265 times.
+/// Multiple of the quantile from which an answer is slow. Servers of one version differ in speed and load.
+const SLOW_FACTOR: f64 = 1.5;
+/// Least slow threshold for first tokens, as a multiple of the forecast: a first token that comes within the forecast
+/// for a prompt of its length is never slow.
+const SLOW_FIRST_TOKEN_MIN: f64 = 1.0;
+/// Least slow threshold for the mean pause between events, in milliseconds: a reader does not notice shorter pauses.
+const SLOW_PAUSE_MIN_MS: f64 = 20.0;
+/// Most by which one report of a host raises a sum. What a host sees in a quarter of a second may have a single
+/// cause, such as a stall of the host or of one server. So an alarm takes at least three reports.
+const REPORT_INCREASE_MAX: f64 = 4.0;
+/// Most samples of the old version that are kept for each route: those of the last seconds, which reflect the current
+/// load.
+const SAMPLES_MAX: usize = 256;
+/// Fewest samples that give a slow threshold.
+const SAMPLES_MIN: usize = 20;
+/// Interval within which answers that one server broke off count once. A server that ends breaks off all answers that
+/// run there, which is no more evidence than one of them.
+const BROKEN_INTERVAL: Duration = Duration::from_secs(1);
+/// Whole answers that a version needs before it can be taken as good: a version that fails a fifth of its requests
+/// gives this many good answers in a row once in 265 times.
 const ANSWERS_MIN: u64 = 25;
-/// Part of the old version's answers from which a route has answers of its own to show.
+/// Share of the old version's answers from which a route needs answers of its own.
 const BUSY_SHARE: f64 = 0.05;
-/// So many.
+/// Whole answers of the new version that such a route needs.
 const BUSY_ANSWERS_MIN: u64 = 5;
 
-/// What was seen of the answers on one route by one version.
+/// What a host saw of the answers of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
     /// Whole answers.
     pub answers: u64,
-    /// Answers that the server itself gave as failures.
+    /// Answers that the server itself returned as failures.
     pub failures: u64,
-    /// Servers that broke answers off or sent nothing, once for each time.
+    /// Servers that broke an answer off or sent nothing, once for each occurrence.
     pub broken: Vec<Name>,
-    /// Times to the first token, each as a multiple of what a prompt of its length was believed to take.
+    /// Times to the first token, each as a multiple of the forecast for a prompt of its length.
     pub firsts: Vec<f32>,
-    /// Mean pauses between the events of streams, in milliseconds.
+    /// Mean pauses between the events of each stream, in milliseconds.
     pub pauses: Vec<f32>,
 }
 
 impl Tally {
-    /// Whether nothing was seen.
+    /// Returns whether the host saw nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// A sum of log-likelihood ratios that does not fall below zero.
+/// Sum of log-likelihood ratios that does not fall below zero.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cusum(f64);
 
 impl Cusum {
-    /// Counts what one report tells of it.
-    fn add_report(&mut self, bad: impl Iterator<Item = bool>, usual: f64) {
-        let most = self.0 + REPORT_MAX;
+    /// Adds the observations of one report.
+    fn add_report(&mut self, bad: impl Iterator<Item = bool>, base_rate: f64) {
+        let most = self.0 + REPORT_INCREASE_MAX;
         for is_bad in bad {
-            self.add(is_bad, usual);
+            self.add(is_bad, base_rate);
         }
         self.0 = self.0.min(most);
     }
 
-    /// Counts an observation of which a part `usual` is bad where nothing is wrong.
-    fn add(&mut self, is_bad: bool, usual: f64) {
-        let worse = usual + WORSE;
+    /// Adds one observation, where a share `base_rate` of the observations is bad if nothing is wrong.
+    fn add(&mut self, is_bad: bool, base_rate: f64) {
+        let worse = base_rate + BAD_RATE_INCREASE;
         let ratio = if is_bad {
-            worse / usual
+            worse / base_rate
         } else {
-            (1.0 - worse) / (1.0 - usual)
+            (1.0 - worse) / (1.0 - base_rate)
         };
         self.0 = (self.0 + ratio.ln()).max(0.0);
     }
 
     fn is_alarmed(self) -> bool {
-        self.0 >= ALARM
+        self.0 >= ALARM_THRESHOLD
     }
 }
 
-/// Times of the old version, the newest last.
+/// The latest samples of the old version, newest last.
 #[derive(Clone, Debug, Default)]
-struct Times(VecDeque<f32>);
+struct Samples(VecDeque<f32>);
 
-impl Times {
-    fn keep(&mut self, times: &[f32]) {
-        self.0.extend(times);
-        let over = self.0.len().saturating_sub(KEPT);
+impl Samples {
+    fn extend(&mut self, samples: &[f32]) {
+        self.0.extend(samples);
+        let over = self.0.len().saturating_sub(SAMPLES_MAX);
         self.0.drain(..over);
     }
 
-    /// The time from which an answer is slow; `None` where too few were seen.
-    fn slow_from(&self, least: f64) -> Option<f64> {
-        if self.0.len() < KEPT_MIN {
+    /// Returns the value above which a sample is slow, at least `least`; `None` if there are too few samples.
+    fn slow_threshold(&self, least: f64) -> Option<f64> {
+        if self.0.len() < SAMPLES_MIN {
             return None;
         }
         let mut sorted: Vec<f32> = self.0.iter().copied().collect();
@@ -129,19 +133,19 @@
             reason = "an index below the length"
         )]
         let index = ((sorted.len() - 1) as f64 * QUANTILE) as usize;
-        Some((f64::from(sorted[index]) * SLOW_TIMES).max(least))
+        Some((f64::from(sorted[index]) * SLOW_FACTOR).max(least))
     }
 }
 
-/// The three ways in which answers are bad.
+/// CUSUM sums for the three ways in which answers are bad.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sums {
+struct Cusums {
     failures: Cusum,
     firsts: Cusum,
     pauses: Cusum,
 }
 
-impl Sums {
+impl Cusums {
     fn alarm(&self) -> Option<&'static str> {
         let named = [
             (self.failures, "its answers fail"),
@@ -153,50 +157,49 @@
     }
 }
 
-/// How many of the old version's answers fail of late: what fails for other reasons fails on both versions.
+/// Recent failure rate of the old version's answers. Requests that fail for other reasons fail on both versions.
 #[derive(Clone, Copy, Debug, Default)]
-struct Recent {
+struct FailureRate {
     answers: f64,
     failures: f64,
 }
 
-impl Recent {
+impl FailureRate {
     fn add(&mut self, is_failure: bool) {
-        self.answers = self.answers * RECENT_KEPT + 1.0;
-        self.failures = self.failures * RECENT_KEPT + f64::from(u8::from(is_failure));
+        self.answers = self.answers * FAILURE_RATE_DECAY + 1.0;
+        self.failures = self.failures * FAILURE_RATE_DECAY + f64::from(u8::from(is_failure));
     }
 
-    /// The part that fails.
-    fn failing(self) -> f64 {
-        let failing = (self.failures + 0.5) / (self.answers + PRIOR_ANSWERS);
-        failing.min(1.0 - 2.0 * WORSE)
+    /// Returns the share of answers that fail.
+    fn value(self) -> f64 {
+        let rate = (self.failures + 0.5) / (self.answers + PRIOR_WEIGHT);
+        rate.min(1.0 - 2.0 * BAD_RATE_INCREASE)
     }
 }
 
-/// What is known of one route.
+/// State of one route.
 #[derive(Clone, Debug, Default)]
 struct Route {
     old_answers: u64,
-    recent: Recent,
-    firsts: Times,
-    pauses: Times,
+    failure_rate: FailureRate,
+    firsts: Samples,
+    pauses: Samples,
     new_answers: u64,
     new_failures: u64,
-    sums: Sums,
+    cusums: Cusums,
 }
 
-/// The evidence on a new version.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Evidence {
     routes: BTreeMap<Name, Route>,
-    /// The same over all routes, each answer against its own route's.
-    all: Sums,
-    /// When an answer that a server broke off counted last.
+    /// Sums over all routes; each answer is compared with the old version's on its own route.
+    all: Cusums,
+    /// When an answer that each server broke off last counted.
     broken: HashMap<Name, Instant>,
 }
 
 impl Evidence {
-    /// Evidence that goes on where an earlier coordinator's ended.
+    /// Resumes from the answer counts that an earlier coordinator stored.
     pub(crate) fn resume(answers: &BTreeMap<Name, u64>) -> Self {
         let route = |(name, answers): (&Name, &u64)| {
             let route = Route {
@@ -211,23 +214,23 @@
         }
     }
 
-    /// Takes in answers of the old version.
-    pub(crate) fn old(&mut self, route: &Name, tally: &Tally) {
+    /// Adds a host's tally of answers of the old version.
+    pub(crate) fn add_old(&mut self, route: &Name, tally: &Tally) {
         let route = self.routes.entry(route.clone()).or_default();
         let failures = tally.failures + tally.broken.len() as u64;
         route.old_answers += tally.answers + failures;
-        for is_failure in spread(tally.answers, failures) {
-            route.recent.add(is_failure);
+        for is_failure in interleave(tally.answers, failures) {
+            route.failure_rate.add(is_failure);
         }
-        route.firsts.keep(&tally.firsts);
-        route.pauses.keep(&tally.pauses);
+        route.firsts.extend(&tally.firsts);
+        route.pauses.extend(&tally.pauses);
     }
 
-    /// Takes in answers of the new version.
-    pub(crate) fn new_version(&mut self, name: &Name, tally: &Tally, now: Instant) {
+    /// Adds a host's tally of answers of the new version.
+    pub(crate) fn add_new(&mut self, name: &Name, tally: &Tally, now: Instant) {
         let broken = tally.broken.iter().filter(|server| {
             let last = self.broken.get(*server).copied();
-            let counts = last.is_none_or(|at| now.saturating_duration_since(at) >= BROKEN_EVERY);
+            let counts = last.is_none_or(|at| now.saturating_duration_since(at) >= BROKEN_INTERVAL);
             if counts {
                 self.broken.insert((*server).clone(), now);
             }
@@ -237,43 +240,43 @@
         let route = self.routes.entry(name.clone()).or_default();
         route.new_answers += tally.answers;
         route.new_failures += failures;
-        let usual = route.recent.failing();
-        let (of_route, of_all) = (&mut route.sums, &mut self.all);
+        let base_rate = route.failure_rate.value();
+        let (of_route, of_all) = (&mut route.cusums, &mut self.all);
         for sum in [&mut of_route.failures, &mut of_all.failures] {
-            sum.add_report(spread(tally.answers, failures), usual);
+            sum.add_report(interleave(tally.answers, failures), base_rate);
         }
-        if let Some(slow_from) = route.firsts.slow_from(FIRST_MIN) {
+        if let Some(slow_threshold) = route.firsts.slow_threshold(SLOW_FIRST_TOKEN_MIN) {
             for sum in [&mut of_route.firsts, &mut of_all.firsts] {
-                sum.add_report(slow(&tally.firsts, slow_from), SLOW_SHARE);
+                sum.add_report(are_slow(&tally.firsts, slow_threshold), SLOW_SHARE);
             }
         }
-        if let Some(slow_from) = route.pauses.slow_from(PAUSE_MIN_MS) {
+        if let Some(slow_threshold) = route.pauses.slow_threshold(SLOW_PAUSE_MIN_MS) {
             for sum in [&mut of_route.pauses, &mut of_all.pauses] {
-                sum.add_report(slow(&tally.pauses, slow_from), SLOW_SHARE);
+                sum.add_report(are_slow(&tally.pauses, slow_threshold), SLOW_SHARE);
             }
         }
     }
 
-    /// Why the new version is bad, if it is.
+    /// Returns why the new version is bad, if it is.
     pub(crate) fn alarm(&self) -> Option<String> {
         let by_route = self.routes.iter().find_map(|(name, route)| {
-            let what = route.sums.alarm()?;
+            let what = route.cusums.alarm()?;
             Some(format!("{what} on route {name}"))
         });
         by_route.or_else(|| Some(format!("{} on all routes together", self.all.alarm()?)))
     }
 
-    /// Why the new version cannot be given all requests yet, if it cannot.
-    pub(crate) fn lack_to_go_on(&self) -> Option<String> {
+    /// Returns what is missing before all requests may go to the new version, if anything is.
+    pub(crate) fn missing_for_all(&self) -> Option<String> {
         let (answers, _) = self.counts();
         let lacks = answers < ANSWERS_MIN;
         lacks.then(|| format!("{answers} answers of {ANSWERS_MIN} at least"))
     }
 
-    /// What is missing for the new version to be taken as good, if anything is.
-    pub(crate) fn lack(&self) -> Option<String> {
-        if let Some(lack) = self.lack_to_go_on() {
-            return Some(lack);
+    /// Returns what is missing before the new version can be taken as good, if anything is.
+    pub(crate) fn missing(&self) -> Option<String> {
+        if let Some(missing) = self.missing_for_all() {
+            return Some(missing);
         }
         let all: u64 = self.routes.values().map(|route| route.old_answers).sum();
         let lacks = self.routes.iter().find(|(_, route)| {
@@ -286,7 +289,7 @@
         })
     }
 
-    /// Whole answers of the new version by route.
+    /// Returns the number of whole answers of the new version for each route.
     pub(crate) fn answers(&self) -> BTreeMap<Name, u64> {
         let routes = self.routes.iter();
         let seen = routes.filter(|(_, route)| route.new_answers > 0);
@@ -294,7 +297,7 @@
             .collect()
     }
 
-    /// Answers and failures of the new version.
+    /// Returns the number of whole answers and of failures of the new version.
     pub(crate) fn counts(&self) -> (u64, u64) {
         let routes = self.routes.values();
         routes.fold((0, 0), |(answers, failures), route| {
@@ -303,13 +306,13 @@
     }
 }
 
-/// Which of some times are slow.
-fn slow(times: &[f32], from: f64) -> impl Iterator<Item = bool> + '_ {
-    times.iter().map(move |time| f64::from(*time) > from)
+/// Returns for each time whether it is slow.
+fn are_slow(times: &[f32], threshold: f64) -> impl Iterator<Item = bool> + '_ {
+    times.iter().map(move |time| f64::from(*time) > threshold)
 }
 
-/// Good and bad answers of which the order is not known, the bad ones spread evenly among them.
-fn spread(good: u64, bad: u64) -> impl Iterator<Item = bool> {
+/// Interleaves good and bad answers whose order is not known, with the bad ones spaced evenly.
+fn interleave(good: u64, bad: u64) -> impl Iterator<Item = bool> {
     let all = good + bad;
     (0..all).map(move |index| (index + 1) * bad / all > index * bad / all)
 }
--- a/cypressvane/src/coordination/rollout/mod.rs
+++ b/cypressvane/src/coordination/rollout/mod.rs
@@ -1,10 +1,11 @@
-//! A roll-out as its coordinator decides it: how many requests the new version gets, whether it is good, and the end.
+//! The coordinator's state machine for a roll-out: how many requests the new version gets, and how the roll-out ends.
 //!
-//! In: hosts' reports on what they sent and how it was answered. Out: how many requests each host may send to the new
-//! version, what is to be kept in the platform, and the end. Most of the time a small part of the requests goes to a
-//! few servers of the new version, the canaries. Shortly before the end, if their answers were good, all requests do,
-//! so that the old servers run empty and the last test is under full load. What both may send together stays below the
-//! bound on a bad version's requests.
+//! Input: the hosts' reports on the requests they sent and the answers they got. Output: how many requests each host
+//! may send to the new version, the progress to store in the platform, and the outcome. For most of the time a small
+//! share of the requests goes to a few servers of the new version, the canaries. Shortly before the roll-out is due,
+//! if the canaries' answers were good, all requests go to the new version, so that the old servers run empty and the
+//! last test is under full load. Both phases together stay below the bound on the requests that a bad version may
+//! get.
 
 mod evidence;
 mod said;
@@ -22,54 +23,56 @@
 use crate::state::rollout::{Order, Progress, Stage};
 use crate::state::units::real;
 
-/// Part of the bound that canaries use up; the rest is for the time in which all requests go to the new version.
-const CANARY_PART: f64 = 0.4;
-/// Part of the bound that this time uses up at an even pace. A rush of twice the pace then still stays within it.
-const ALL_PART: f64 = 0.3;
-/// Part of an order's time that is left for the end to be written, which a slow platform takes long for.
-const MARGIN_PART: f64 = 0.05;
-/// Least such time.
+/// Share of the bound that canaries use; the remainder is for the phase in which all requests go to the new version.
+const CANARY_BOUND_SHARE: f64 = 0.4;
+/// Share of the bound that the phase in which all requests go to the new version uses at an even request rate. A
+/// burst at twice that rate still stays within the bound.
+const ALL_BOUND_SHARE: f64 = 0.3;
+/// Share of an order's duration that is reserved for storing the outcome, because a slow platform takes long to
+/// write.
+const MARGIN_SHARE: f64 = 0.05;
+/// Lower bound on that reserve.
 const MARGIN_MIN: Duration = Duration::from_millis(300);
-/// Requests by which the allotment that is kept in the platform grows at least, so that it is not written for each.
-const ALLOT_STEP: u64 = 16;
+/// Least growth of the stored allotment, in requests, so that the platform is not written to for every request.
+const ALLOTMENT_STEP: u64 = 16;
 
-/// How many requests a bad version may get.
+/// Bounds on the requests that a bad version may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Part of all requests of the service.
+    /// Share of all requests of the service, from 0 to 1.
     pub share: f64,
-    /// Requests besides.
+    /// Requests in addition to the share.
     pub slack: f64,
 }
 
 impl Bounds {
-    /// The part of the requests that canaries get.
+    /// Returns the share of the requests that canaries get.
     pub(crate) fn canary_share(&self) -> f64 {
-        self.share * CANARY_PART
+        self.share * CANARY_BOUND_SHARE
     }
 }
 
-/// Where a roll-out stands for its coordinator.
+/// Phase of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     Canary,
     All,
-    /// Decided, and why; kept in the platform or not yet.
+    /// The outcome is decided; it may not be stored in the platform yet.
     Decided {
         stage: Stage,
         why: String,
     },
 }
 
-/// What a host has told of the requests that it sent.
+/// Request counts that a host has reported.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sent {
     all: u64,
-    /// Those between its last two reports.
+    /// Requests between the last two reports.
     latest: u64,
 }
 
-/// A roll-out as its coordinator decides it.
+/// A roll-out as its coordinator tracks it.
 #[derive(Debug)]
 pub struct Rollout {
     order: Order,
@@ -78,20 +81,21 @@
     due_ms: u64,
     phase: Phase,
     evidence: Evidence,
-    /// What each incarnation of a host has sent.
+    /// Requests sent by each incarnation of a host.
     requests: HashMap<(Name, u64), Sent>,
-    /// Requests that hosts had told of when all began to go to the new version.
+    /// Requests that hosts had reported when all requests began to go to the new version.
     before_all: Option<u64>,
-    /// Requests that were handed out to hosts for the new version.
+    /// Requests for the new version that were handed out to hosts.
     dealt: u64,
-    /// Requests that may be, as kept in the platform.
+    /// Requests that may be handed out, as stored in the platform.
     allotted: u64,
-    /// How it was kept last.
-    kept: Option<Stage>,
+    /// Stage that was last stored in the platform.
+    stored_stage: Option<Stage>,
 }
 
 impl Rollout {
-    /// A roll-out that is due then, as far as an earlier coordinator has kept it.
+    /// Opens a roll-out that is due at `due` and resumes the stored progress of an earlier coordinator, if it is of
+    /// this order.
     #[must_use]
     pub fn open(order: Order, bounds: Bounds, due: Instant, kept: Option<&Progress>) -> Self {
         let own = kept.filter(|progress| order.owns(progress));
@@ -106,7 +110,7 @@
             before_all: None,
             dealt: 0,
             allotted: 0,
-            kept: None,
+            stored_stage: None,
             order,
             bounds,
         };
@@ -117,9 +121,10 @@
         rollout
     }
 
-    /// Takes over what another coordinator has kept: its end, or what it may have handed out.
+    /// Takes over the progress that another coordinator stored: its outcome, or the requests that it may have handed
+    /// out.
     pub fn adopt(&mut self, progress: &Progress) {
-        self.kept = Some(progress.stage);
+        self.stored_stage = Some(progress.stage);
         self.allotted = progress.allotted;
         self.dealt = progress.allotted;
         if progress.stage != Stage::InProgress {
@@ -130,25 +135,25 @@
         }
     }
 
-    /// Goes on under the number that the order has since it was written again.
+    /// Continues under the number and era that the order has since operators wrote it again.
     pub fn renumber(&mut self, order: &Order) {
         self.order.number = order.number;
         self.order.era = order.era;
         self.forget_kept();
     }
 
-    /// Notes that the platform may have lost what was kept: it is kept anew.
+    /// Marks the stored progress as unknown, because the platform may have lost it; it is stored again.
     pub fn forget_kept(&mut self) {
-        self.kept = None;
+        self.stored_stage = None;
     }
 
-    /// The order.
+    /// Returns the order.
     #[must_use]
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// Takes in a host's report; gives what the host is to do.
+    /// Processes a host's report and returns what the host is to do.
     pub fn hear(&mut self, host: &Name, incarnation: u64, report: &Report, now: Instant) -> Word {
         let sent = self
             .requests
@@ -161,10 +166,10 @@
         };
         self.dealt = self.dealt.saturating_sub(report.returned);
         for (route, tally) in &report.old {
-            self.evidence.old(route, tally);
+            self.evidence.add_old(route, tally);
         }
         for (route, tally) in &report.new {
-            self.evidence.new_version(route, tally, now);
+            self.evidence.add_new(route, tally, now);
         }
         self.advance(now);
         match self.word() {
@@ -173,14 +178,17 @@
         }
     }
 
-    /// What hosts are to do, beside the requests that each may send as a canary.
+    /// Returns what hosts are to do, without the number of requests that each may send as a canary.
     #[must_use]
     pub fn word(&self) -> Word {
         match &self.phase {
             Phase::Canary => Word::Canary(0),
-            Phase::Decided { stage, .. } if self.kept == Some(*stage) => Word::Ended(*stage),
-            // Where the end is not kept yet as far as is known, the old servers may have stopped all the same: the
-            // answer of the write may be lost. Until it is kept the bound holds all the same.
+            Phase::Decided { stage, .. } if self.stored_stage == Some(*stage) => {
+                Word::Ended(*stage)
+            }
+            // A completion that is not known to be stored may be stored all the same, because the answer to a write
+            // can be lost: the old servers may have stopped already. The bound still applies until it is known to be
+            // stored.
             Phase::All
             | Phase::Decided {
                 stage: Stage::Completed,
@@ -190,7 +198,7 @@
         }
     }
 
-    /// Decides what time and evidence allow.
+    /// Changes the phase if the time and the evidence call for it.
     fn advance(&mut self, now: Instant) {
         if !self.is_open() {
             return;
@@ -203,14 +211,17 @@
             return;
         }
         let margin = self.margin();
-        let all_for = self.order.duration.mul_f64(self.bounds.share * ALL_PART);
+        let all_duration = self
+            .order
+            .duration
+            .mul_f64(self.bounds.share * ALL_BOUND_SHARE);
         let is_due = now + margin >= self.due;
-        let may_be_all = now + margin + all_for >= self.due;
+        let is_time_for_all = now + margin + all_duration >= self.due;
         match self.phase {
             Phase::Canary | Phase::All if is_due => self.decide_by_evidence(),
-            // There is no more to be seen of it within the bound.
+            // The bound allows no more requests, so no further evidence will come.
             Phase::All if self.is_spent() => self.decide_by_evidence(),
-            Phase::Canary if may_be_all && self.may_go_on() => {
+            Phase::Canary if is_time_for_all && self.may_send_all() => {
                 self.phase = Phase::All;
                 self.before_all = Some(self.total());
             }
@@ -218,21 +229,21 @@
         }
     }
 
-    /// Whether evidence may still change the decision: a completion may be taken back until it is kept, since of two
-    /// ends that are written under conditions one is kept.
+    /// Whether evidence may still change the decision. A completion may be taken back until it is stored: ends are
+    /// written conditionally, so only one of two is stored.
     fn is_open(&self) -> bool {
         match &self.phase {
             Phase::Canary | Phase::All => true,
             Phase::Decided { stage, .. } => {
                 *stage == Stage::Completed
                     && self.before_all.is_some()
-                    && self.kept != Some(Stage::Completed)
+                    && self.stored_stage != Some(Stage::Completed)
             }
         }
     }
 
-    /// Whether the new version may have got as many requests as a bad one may, with those that hosts send until they
-    /// are told otherwise.
+    /// Whether the new version may have got as many requests as a bad one may get, counting those that hosts send
+    /// before they receive another instruction.
     fn is_spent(&self) -> bool {
         let Some(before) = self.before_all else {
             return false;
@@ -242,24 +253,28 @@
         real(exposed) >= self.bound()
     }
 
-    /// Whether all requests may go to the new version: what it showed was good, and the order is kept.
-    fn may_go_on(&self) -> bool {
-        self.kept.is_some() && self.evidence.lack_to_go_on().is_none()
+    /// Whether all requests may go to the new version: its answers were good, and the progress is stored.
+    fn may_send_all(&self) -> bool {
+        self.stored_stage.is_some() && self.evidence.missing_for_all().is_none()
     }
 
-    /// Decides when the time is over: without evidence a version is not good, since a bad one that is completed cannot
-    /// be taken back.
+    /// Decides by the evidence, at the due time or when the bound is used up. Without evidence the version counts as
+    /// bad, because a completion cannot be taken back.
     fn decide_by_evidence(&mut self) {
-        let lack = self.evidence.lack();
+        let missing = self.evidence.missing();
         let untried = || "not tried under all requests".to_owned();
-        let lack = lack.or_else(|| (self.phase == Phase::Canary).then(untried));
-        match lack {
-            Some(lack) => self.decide(Stage::RolledBack, format!("due without evidence: {lack}")),
+        let missing = missing.or_else(|| (self.phase == Phase::Canary).then(untried));
+        match missing {
+            Some(missing) => self.decide(
+                Stage::RolledBack,
+                format!("due without evidence: {missing}"),
+            ),
             None => self.decide(Stage::Completed, "its answers are as good".to_owned()),
         }
     }
 
-    /// Ends it so, unless it has ended: where nothing is to be moved, or hosts know of an end that the platform lost.
+    /// Ends the roll-out with `stage` unless it is decided already. This is for a roll-out that has nothing to move,
+    /// and for an end that hosts know of but the platform lost.
     pub fn end(&mut self, stage: Stage, why: &str) {
         if !matches!(self.phase, Phase::Decided { .. }) {
             self.decide(stage, why.to_owned());
@@ -271,33 +286,34 @@
     }
 
     fn margin(&self) -> Duration {
-        let part = self.order.duration.mul_f64(MARGIN_PART).max(MARGIN_MIN);
-        part.min(self.order.duration / 2)
+        let margin = self.order.duration.mul_f64(MARGIN_SHARE).max(MARGIN_MIN);
+        margin.min(self.order.duration / 2)
     }
 
-    /// Requests of the service that hosts have told of.
+    /// Returns the requests of the service that hosts have reported.
     fn total(&self) -> u64 {
         self.requests.values().map(|sent| sent.all).sum()
     }
 
-    /// Requests that canaries may get by now. Only what was asked counts, since nobody knows what will be.
+    /// Returns the requests that canaries may have got by now. Only requests already sent count, because the future
+    /// load is unknown.
     fn canary_bound(&self) -> u64 {
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a part of a count"
         )]
-        let bound = (self.bound() * CANARY_PART) as u64;
+        let bound = (self.bound() * CANARY_BOUND_SHARE) as u64;
         bound
     }
 
-    /// Requests that a bad version may get by now.
+    /// Returns the requests that a bad version may have got by now.
     fn bound(&self) -> f64 {
         self.bounds.share * real(self.total()) + self.bounds.slack
     }
 
-    /// Hands out requests to a host that has sent so many since its last report: half as many at most, so that one
-    /// host does not get what it will not use.
+    /// Hands out requests to a host that has sent `recent` requests since its last report. It gets at most half as
+    /// many, so that no host gets requests that it will not use.
     fn deal(&mut self, recent: u64) -> u64 {
         let bound = self.canary_bound().min(self.allotted);
         let given = recent.div_ceil(2).min(bound.saturating_sub(self.dealt));
@@ -305,14 +321,16 @@
         given
     }
 
-    /// What is to be kept in the platform next, if anything is.
+    /// Returns the progress to store in the platform next, if any.
     pub fn step(&mut self, now: Instant) -> Option<Progress> {
         self.advance(now);
         let bound = self.canary_bound();
         let progress = match &self.phase {
-            Phase::Decided { stage, .. } if self.kept == Some(*stage) => return None,
+            Phase::Decided { stage, .. } if self.stored_stage == Some(*stage) => return None,
             Phase::Decided { stage, why } => self.progress(*stage, why.clone(), self.allotted),
-            Phase::Canary if self.kept.is_none() || bound >= self.allotted + ALLOT_STEP => {
+            Phase::Canary
+                if self.stored_stage.is_none() || bound >= self.allotted + ALLOTMENT_STEP =>
+            {
                 let allotted = bound.max(self.allotted);
                 self.progress(Stage::InProgress, String::new(), allotted)
             }
@@ -334,18 +352,18 @@
         }
     }
 
-    /// Notes that this is kept in the platform.
+    /// Records that `progress` is stored in the platform.
     pub fn kept(&mut self, progress: &Progress) {
-        self.kept = Some(progress.stage);
+        self.stored_stage = Some(progress.stage);
         self.allotted = self.allotted.max(progress.allotted);
     }
 
-    /// It in short, for operators.
+    /// Returns a summary for operators.
     #[must_use]
     pub fn shown(&self) -> Shown {
         let (answers, failures) = self.evidence.counts();
         let (phase, why) = match &self.phase {
-            Phase::Canary => ("canary", self.evidence.lack().unwrap_or_default()),
+            Phase::Canary => ("canary", self.evidence.missing().unwrap_or_default()),
             Phase::All => ("all", String::new()),
             Phase::Decided { stage, why } => (stage.text(), why.clone()),
         };
--- a/cypressvane/src/coordination/rollout/said.rs
+++ b/cypressvane/src/coordination/rollout/said.rs
@@ -1,4 +1,4 @@
-//! What hosts and the coordinator of a roll-out tell each other, and operators.
+//! Messages between hosts and the coordinator of a roll-out, and the summary for operators.
 
 use std::collections::BTreeMap;
 
@@ -8,40 +8,40 @@
 use crate::state::name::Name;
 use crate::state::rollout::Stage;
 
-/// What a host tells of a service while an order on it stands.
+/// A host's report on a service that has an open order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests that it has sent since it knows of the order.
+    /// Requests that the host has sent since it learned of the order.
     pub requests: u64,
-    /// Requests that it was allowed for the canaries and has not sent, nor will.
+    /// Requests that the host was allowed for the canaries, has not sent and will not send.
     pub returned: u64,
-    /// Answers of the old version since the last report, by route; times are samples.
+    /// Answers of the old version since the last report, by route; the times are samples.
     pub old: BTreeMap<Name, Tally>,
-    /// Answers of the new version.
+    /// Answers of the new version since the last report, by route.
     pub new: BTreeMap<Name, Tally>,
 }
 
-/// What a host is to do.
+/// The coordinator's instruction to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
-    /// To send so many requests to the new version, and no others.
+    /// Send at most this many requests to the new version until the next report.
     Canary(u64),
-    /// To send all requests there.
+    /// Send all requests to the new version.
     All,
-    /// To send none there.
+    /// Send no requests to the new version.
     Nothing,
-    /// The roll-out has ended so.
+    /// The roll-out has ended in this stage.
     Ended(Stage),
 }
 
-/// A roll-out in short.
+/// A summary of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shown {
     /// `canary`, `all`, `completed` or `rolled_back`.
     pub phase: &'static str,
-    /// Why it was decided so, or what is missing.
+    /// Why it was decided so, or what evidence is missing.
     pub why: String,
-    /// Requests of the service that hosts have told of.
+    /// Requests of the service that hosts have reported.
     pub requests: u64,
     /// Requests that hosts were allowed for the canaries.
     pub dealt: u64,
--- a/cypressvane/src/coordination/rollout/version.rs
+++ b/cypressvane/src/coordination/rollout/version.rs
@@ -1,4 +1,4 @@
-//! Which version of a service gets its traffic, and which backend servers are canaries.
+//! Selects the version of a service that gets its traffic, and the backend servers that are canaries.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,25 @@
 use crate::state::name::Name;
 use crate::state::rollout::Stage;
 
-/// Least number of canaries: one that fails must not be all there is to see of a version.
+/// Least number of canaries: the failure of a single server must not be all the evidence on a version.
 const CANARIES_MIN: usize = 2;
 
-/// What is known of a service's versions.
+/// What a host knows of a service's versions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Known<'a> {
-    /// Its backend servers in the host list by version.
+    /// Number of backend servers of each version in the host list.
     pub(crate) listed: BTreeMap<Name, usize>,
-    /// The version that got its traffic until now.
+    /// The version that has got the service's traffic until now.
     pub(crate) before: Option<&'a Name>,
-    /// The version of the newest order, and how that stands, where it is known.
+    /// The version of the newest order, and the order's stage where that is known.
     pub(crate) ordered: Option<(&'a Name, Option<Stage>)>,
 }
 
-/// The version that gets a service's traffic; `None` where no listed server may get any.
+/// Returns the version that gets a service's traffic; `None` if no listed server may get any.
 ///
-/// Servers of a version that no order names get nothing, however many they are. A host that knows nothing of earlier
-/// takes the version of most servers other than the ordered one; where there is only the ordered one, and the outcome
-/// is not known, it was completed, since a roll-back leaves the old servers.
+/// Servers of a version that no order names get nothing, however many they are. A host that does not know the earlier
+/// version takes the version with the most servers other than the ordered one. If only the ordered version is listed
+/// and the outcome is unknown, the order was completed, because a roll-back leaves the old servers.
 pub(crate) fn serving(known: &Known<'_>) -> Option<Name> {
     if let Some((to, Some(Stage::Completed))) = known.ordered {
         return Some(to.clone());
@@ -37,7 +37,7 @@
         .listed
         .iter()
         .filter(|(version, _)| Some(*version) != ordered);
-    // Of those with as many servers the first by name, so that all hosts take the same.
+    // Ties go to the first version by name, so that all hosts choose the same.
     let most = others.max_by_key(|(version, count)| (*count, std::cmp::Reverse(*version)));
     if let Some((version, _)) = most {
         return Some(version.clone());
@@ -48,8 +48,10 @@
     }
 }
 
-/// The servers of a new version that are canaries: a part of them, so that each has as much to do as a server of the
-/// old version has, since some faults show under load only.
+/// Returns the servers of a new version that are canaries. They are a share of its servers, so that each gets as much
+/// load as a server of the old version, since some faults show only under load.
+///
+/// The selection orders the servers by a digest of their names, so it does not depend on the order of `servers`.
 pub(crate) fn canaries(servers: &[Name], share: f64) -> Vec<Name> {
     #[allow(
         clippy::cast_possible_truncation,
@@ -57,13 +59,13 @@
         clippy::cast_precision_loss,
         reason = "a share of a count of servers"
     )]
-    let part = (servers.len() as f64 * share).ceil() as usize;
+    let count = (servers.len() as f64 * share).ceil() as usize;
     let mut order: Vec<(String, &Name)> = servers
         .iter()
         .map(|server| (digest::hex(server.as_bytes()), server))
         .collect();
     order.sort();
-    let first = order.into_iter().take(part.max(CANARIES_MIN));
+    let first = order.into_iter().take(count.max(CANARIES_MIN));
     first.map(|(_, server)| server.clone()).collect()
 }
 
--- a/cypressvane/src/coordination/rollout/version_tests.rs
+++ b/cypressvane/src/coordination/rollout/version_tests.rs
@@ -1,4 +1,4 @@
-//! Which version gets a service's traffic, by what is known of it.
+//! Tests which version gets a service's traffic, and which servers are canaries.
 
 use super::{Known, canaries, serving};
 use crate::state::name::Name;
@@ -21,28 +21,28 @@
         serving: Some("v1"),
     },
     Case {
-        name: "another registers that nobody ordered",
+        name: "a version that nobody ordered registers",
         listed: &[("v1", 1), ("v2", 4)],
         before: Some("v1"),
         ordered: None,
         serving: Some("v1"),
     },
     Case {
-        name: "only another is left, that nobody ordered",
+        name: "only a version that nobody ordered is left",
         listed: &[("v2", 4)],
         before: Some("v1"),
         ordered: None,
         serving: Some("v1"),
     },
     Case {
-        name: "a host that starts in the middle of an order",
+        name: "a host that starts during an order",
         listed: &[("v1", 4), ("v2", 6)],
         before: None,
         ordered: Some(("v2", None)),
         serving: Some("v1"),
     },
     Case {
-        name: "a host that starts after a completed one, before it hears of its end",
+        name: "a host that starts after a completed order, before it learns of the outcome",
         listed: &[("v2", 4)],
         before: None,
         ordered: Some(("v2", None)),
@@ -70,7 +70,7 @@
         serving: None,
     },
     Case {
-        name: "as many servers of two versions that nobody ordered",
+        name: "two versions that nobody ordered, with as many servers each",
         listed: &[("v1", 4), ("v2", 4)],
         before: None,
         ordered: None,
@@ -86,7 +86,7 @@
 ];
 
 #[test]
-fn a_version_serves_that_was_there_or_was_ordered_and_completed() {
+fn the_earlier_version_serves_until_an_order_is_completed() {
     for case in CASES {
         let before = case.before.map(Name::from);
         let ordered = case.ordered.map(|(to, stage)| (Name::from(to), stage));
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn canaries_carry_as_much_as_others_and_stay_the_same() {
+fn canaries_are_a_share_of_the_servers_in_any_order() {
     let names = |count: usize| -> Vec<Name> {
         (0..count)
             .map(|index| format!("i-{index}").into())
             .collect()
     };
-    // Servers, the part of the requests that canaries get, and how many servers that is.
+    // Number of servers, the canaries' share of the requests, and the number of canaries.
     let cases = [
         (60, 0.04, 3),
         (100, 0.04, 4),
@@ -123,8 +123,8 @@
         let all = names(servers);
         let some = canaries(&all, share);
         assert_eq!(some.len(), count, "{servers} servers");
-        let mut turned = all.clone();
-        turned.reverse();
-        assert_eq!(canaries(&turned, share), some, "{servers} servers");
+        let mut reversed = all.clone();
+        reversed.reverse();
+        assert_eq!(canaries(&reversed, share), some, "{servers} servers");
     }
 }
