--- a/cypressvane/src/coordination/limit/mod.rs
+++ b/cypressvane/src/coordination/limit/mod.rs
@@ -1,9 +1,9 @@
-//! The limits of client accounts, over all hosts together.
+//! Limits of client accounts, over all hosts together.
 //!
-//! Each account has a home among the hosts, as each pool has one. The home keeps the account's
-//! buckets, and the hosts that receive its requests ask it. While a home hears only some of the
-//! hosts, it gives out only their part of the limit, and a host that gets no answer gives out its own
-//! part. So hosts that are cut off from each other keep to the limit together.
+//! Each account has a home among the hosts, as each pool has. The home keeps the account's token buckets, and the
+//! hosts that receive the account's requests ask it. While a home is connected to only some of the hosts, it gives
+//! out only their share of the limit, and a host that gets no answer gives out its own share. So hosts on both sides
+//! of a network partition keep to the limit together.
 
 pub(crate) mod bucket;
 
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::coordination::limit::bucket::{Bounds, Bucket};
+use crate::coordination::limit::bucket::{Bucket, Parameters};
 use crate::state::clock::Instant;
 use crate::state::fleet::Account;
 use crate::state::name::Name;
@@ -20,53 +20,54 @@
 
 pub use crate::coordination::limit::bucket::Tolerance;
 
-/// Time after which the buckets of an idle account are full again, and forgotten.
-const IDLE: Duration = Duration::from_secs(10);
-/// Least level of a bucket of tokens that lets a request pass.
+/// Time after which the buckets of an idle account are dropped; they are taken to be full again by then.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Level that the bucket for tokens per second needs to let a request pass: any above zero.
 const TOKENS_FLOOR: f64 = f64::MIN_POSITIVE;
 
-/// Why a request is over its account's limits, and when to come back.
+/// The limit that a request exceeds, and the time after which it may be sent again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Over {
-    /// Too many requests a second.
+    /// Too many requests per second.
     Requests(Duration),
-    /// Too many tokens a second.
+    /// Too many tokens per second.
     Tokens(Duration),
-    /// Too many requests in flight; there is no telling when one ends.
+    /// Too many requests in flight; when one of them ends is unknown.
     InFlight,
 }
 
-/// How much of the fleet's limits a host may give out.
+/// The share of the limits of all hosts that a host may give out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Hosts for which it gives out, itself included.
+    /// Number of hosts for which this host gives out, itself included.
     pub heard: u32,
-    /// Hosts that there may be.
+    /// Number of all hosts that may give out.
     pub known: u32,
 }
 
 impl Share {
-    /// The share of a host that gives out for itself alone.
+    /// Returns the share of a host that gives out only for itself.
     #[must_use]
     pub fn own(self) -> Self {
         Self { heard: 1, ..self }
     }
 
-    /// The part of the hosts for which it gives out, from 0 to 1.
+    /// Returns the share as a fraction from 0 to 1.
     #[must_use]
     pub fn part(self) -> f64 {
         let known = self.known.max(1);
         f64::from(self.heard.min(known)) / f64::from(known)
     }
 
-    /// This part of a limit, rounded up, so that no share is zero.
-    fn of(self, limit: u32) -> f64 {
+    /// Returns this share of a limit, rounded up so that it is not zero.
+    fn of_limit(self, limit: u32) -> f64 {
         let known = u64::from(self.known.max(1));
         let heard = u64::from(self.heard).min(known);
         real((u64::from(limit) * heard).div_ceil(known))
     }
 
-    /// This part of what a limit may be missed by: all parts together are no more than the whole.
+    /// Returns the tolerance with this share of its slack. The slack is not rounded, so all shares add up to no more
+    /// than the whole.
     fn of_tolerance(self, tolerance: Tolerance) -> Tolerance {
         Tolerance {
             slack: tolerance.slack * self.part(),
@@ -75,16 +76,15 @@
     }
 }
 
-/// The buckets of an account.
 #[derive(Debug)]
-struct Usage {
+struct Buckets {
     requests: Option<Bucket>,
     tokens: Option<Bucket>,
-    /// When something was last taken out.
-    at: Instant,
+    /// When something was last taken out; at first, when the buckets were created.
+    last_taken: Instant,
 }
 
-impl Usage {
+impl Buckets {
     fn take(&mut self, tokens: u32, now: Instant) {
         if let Some(bucket) = &mut self.requests {
             bucket.take(1.0);
@@ -92,34 +92,34 @@
         if let Some(bucket) = &mut self.tokens {
             bucket.take(f64::from(tokens));
         }
-        self.at = now;
+        self.last_taken = now;
     }
 }
 
-/// The buckets of the accounts of which this host gave something out, as their home or of its own part.
+/// The buckets of the accounts for which this host gave something out, as their home or from its own share.
 #[derive(Debug)]
 pub struct Ledger {
     tolerance: Option<Tolerance>,
-    /// Since when the homes are as they are; buckets begin to fill then.
+    /// When the homes last changed; new buckets start to fill at that time.
     since: Instant,
-    usage: HashMap<Name, Usage>,
+    accounts: HashMap<Name, Buckets>,
 }
 
 impl Ledger {
-    /// A ledger without usage; with a tolerance it keeps the limits over any window.
+    /// Creates an empty ledger. With a tolerance it keeps to the limits over every window.
     #[must_use]
     pub fn new(tolerance: Option<Tolerance>, now: Instant) -> Self {
         Self {
             tolerance,
             since: now,
-            usage: HashMap::new(),
+            accounts: HashMap::new(),
         }
     }
 
-    /// Takes a request out of its account's buckets, or says which limit it is over.
+    /// Takes a request and its tokens out of its account's buckets.
     ///
     /// # Errors
-    /// Names the limit and when to come back; nothing is taken out then.
+    /// Returns the limit that the request exceeds, and takes nothing.
     pub fn spend(
         &mut self,
         account: &Account,
@@ -127,106 +127,107 @@
         share: Share,
         now: Instant,
     ) -> Result<(), Over> {
-        let usage = self.fill(account, share, now);
+        let buckets = self.fill(account, share, now);
         let wait = |bucket: &Option<Bucket>, floor| bucket.as_ref()?.wait(floor);
-        if let Some(wait) = wait(&usage.requests, 1.0) {
+        if let Some(wait) = wait(&buckets.requests, 1.0) {
             return Err(Over::Requests(wait));
         }
-        if let Some(wait) = wait(&usage.tokens, TOKENS_FLOOR) {
+        if let Some(wait) = wait(&buckets.tokens, TOKENS_FLOOR) {
             return Err(Over::Tokens(wait));
         }
-        usage.take(tokens, now);
+        buckets.take(tokens, now);
         Ok(())
     }
 
-    /// Takes out what another host gave out of its own part, whether it is there or not.
+    /// Takes out what another host gave out from its own share, even if the level is lower.
     pub fn debit(&mut self, account: &Account, tokens: u32, share: Share, now: Instant) {
         self.fill(account, share, now).take(tokens, now);
     }
 
-    /// Puts back what a request was given that no backend server ran.
+    /// Puts back what was taken for a request that no backend server ran.
     pub fn give_back(&mut self, account: &Account, tokens: u32, share: Share, now: Instant) {
-        let usage = self.fill(account, share, now);
-        if let Some(bucket) = &mut usage.requests {
+        let buckets = self.fill(account, share, now);
+        if let Some(bucket) = &mut buckets.requests {
             bucket.give_back(1.0);
         }
-        if let Some(bucket) = &mut usage.tokens {
+        if let Some(bucket) = &mut buckets.tokens {
             bucket.give_back(f64::from(tokens));
         }
     }
 
-    /// Brings the buckets of an account up to `now`.
-    fn fill(&mut self, account: &Account, share: Share, now: Instant) -> &mut Usage {
+    /// Fills the buckets of an account up to `now`.
+    fn fill(&mut self, account: &Account, share: Share, now: Instant) -> &mut Buckets {
         let tolerance = self.tolerance.map(|whole| share.of_tolerance(whole));
         let tolerance = tolerance.as_ref();
         let requests = account
             .requests_per_second
-            .map(|limit| Bounds::of(share.of(limit), None, tolerance));
-        let burst = account.burst_tokens.map(|burst| share.of(burst));
+            .map(|limit| Parameters::for_limit(share.of_limit(limit), None, tolerance));
+        let burst = account.burst_tokens.map(|burst| share.of_limit(burst));
         let tokens = account
             .tokens_per_second
-            .map(|limit| Bounds::of(share.of(limit), burst, tolerance));
-        let usage = self
-            .usage
+            .map(|limit| Parameters::for_limit(share.of_limit(limit), burst, tolerance));
+        let buckets = self
+            .accounts
             .entry(account.name.clone())
-            .or_insert_with(|| Usage {
+            .or_insert_with(|| Buckets {
                 requests: None,
                 tokens: None,
-                at: now,
+                last_taken: now,
             });
-        fill(&mut usage.requests, requests, self.since, now);
-        fill(&mut usage.tokens, tokens, self.since, now);
-        usage
+        fill(&mut buckets.requests, requests, self.since, now);
+        fill(&mut buckets.tokens, tokens, self.since, now);
+        buckets
     }
 
-    /// Begins the buckets anew of the accounts of which `moved` says that their home has come here
-    /// or has gone: what others gave out meanwhile is not known.
+    /// Drops the buckets of the accounts that `moved` selects, whose home is now this host or no longer is: what
+    /// other hosts gave out meanwhile is unknown. New buckets start to fill at `now`.
     pub fn rehome(&mut self, moved: impl Fn(&Name) -> bool, now: Instant) {
         self.since = now;
-        self.usage.retain(|account, _| !moved(account));
+        self.accounts.retain(|account, _| !moved(account));
     }
 
-    /// Forgets accounts that were idle for long enough to have full buckets again.
+    /// Drops accounts that were idle for `IDLE_TIMEOUT`.
     pub fn sweep(&mut self, now: Instant) {
-        let is_idle = |usage: &Usage| now.saturating_duration_since(usage.at) >= IDLE;
-        self.usage.retain(|_, usage| !is_idle(usage));
+        let is_idle =
+            |buckets: &Buckets| now.saturating_duration_since(buckets.last_taken) >= IDLE_TIMEOUT;
+        self.accounts.retain(|_, buckets| !is_idle(buckets));
     }
 
-    /// Number of accounts with state on this host.
+    /// Returns the number of accounts with state on this host.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.usage.len()
+        self.accounts.len()
     }
 
-    /// Whether no account has state on this host.
+    /// Returns whether no account has state on this host.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.usage.is_empty()
+        self.accounts.is_empty()
     }
 }
 
-/// Brings a bucket up to `now`; one whose limit was taken away goes, a new one begins at `since`.
-fn fill(bucket: &mut Option<Bucket>, bounds: Option<Bounds>, since: Instant, now: Instant) {
-    let Some(bounds) = bounds else {
+/// Fills a bucket up to `now`. Drops it if its limit was removed; creates it at `since` if it is new.
+fn fill(bucket: &mut Option<Bucket>, parameters: Option<Parameters>, since: Instant, now: Instant) {
+    let Some(parameters) = parameters else {
         *bucket = None;
         return;
     };
     bucket
-        .get_or_insert_with(|| Bucket::new(bounds, since))
-        .fill(bounds, now);
+        .get_or_insert_with(|| Bucket::new(parameters, since))
+        .fill(parameters, now);
 }
 
-/// The requests of each account that are in flight at this host.
+/// The number of requests of each account that are in flight on this host.
 #[derive(Debug, Default)]
 pub struct InFlight {
     counts: HashMap<Name, u32>,
 }
 
 impl InFlight {
-    /// Whether one more request is within this host's part of the account's limit.
+    /// Checks that one more request is within this host's share of the account's limit.
     ///
     /// # Errors
-    /// When it is not.
+    /// Returns `Over::InFlight` if it is not.
     pub fn check(&self, account: &Account, hosts: u32) -> Result<(), Over> {
         let Some(limit) = account.in_flight else {
             return Ok(());
@@ -238,7 +239,7 @@
         Ok(())
     }
 
-    /// Counts a request.
+    /// Counts a request as started.
     pub fn enter(&mut self, account: &Name) {
         *self.counts.entry(account.clone()).or_default() += 1;
     }
--- a/cypressvane/src/coordination/server/answers.rs
+++ b/cypressvane/src/coordination/server/answers.rs
@@ -1,4 +1,4 @@
-//! What answers of a backend server teach of it.
+//! Learns the speed and health of a backend server from its answers.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 use crate::coordination::offer::Ticket;
 use crate::state::clock::Instant;
 
-/// What is left of the weight of earlier answers after each new one: some twenty are remembered.
-const ANSWERS_KEPT: f64 = 0.95;
+/// Factor by which the weight of earlier answers decays with each new one: about twenty are remembered.
+const ANSWERS_DECAY: f64 = 0.95;
 
-/// What answers took after their first tokens, the newest weighing most.
+/// Decayed sums of what answers took after their first tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Answers {
-    /// Tokens, as their callers had guessed.
+    /// Answer tokens, as estimated when the requests arrived.
     tokens: f64,
     seconds: f64,
 }
 
 impl Server {
-    /// Learns from a first token.
+    /// Records the first token of a request's answer.
     pub(crate) fn first_token(&mut self, ticket: &Ticket, now: Instant) {
-        self.heard = Some(now);
-        let Some(running) = self.settle_prefill(ticket) else {
+        self.last_answer = Some(now);
+        let Some(running) = self.finish_prefill(ticket) else {
             return;
         };
         self.health.recover(now);
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Learns how long a whole answer took after its first token.
+    /// Records a whole answer, and learns how long it took after its first token.
     pub(crate) fn answered(&mut self, ticket: &Ticket, now: Instant) {
-        self.heard = Some(now);
+        self.last_answer = Some(now);
         let Some(running) = self.running.get(ticket) else {
             return;
         };
@@ -49,26 +49,26 @@
         }
         let took = now.saturating_duration_since(first_token);
         let answers = &mut self.answers;
-        answers.tokens = answers.tokens * ANSWERS_KEPT + f64::from(running.work.answer_tokens);
-        answers.seconds = answers.seconds * ANSWERS_KEPT + took.as_secs_f64();
+        answers.tokens = answers.tokens * ANSWERS_DECAY + f64::from(running.work.answer_tokens);
+        answers.seconds = answers.seconds * ANSWERS_DECAY + took.as_secs_f64();
     }
 
-    /// Learns the longest pause of a stream that runs there.
+    /// Records the longest pause of a stream that runs on the server.
     pub(crate) fn paused(&mut self, ticket: &Ticket, longest: Duration) {
         if let Some(running) = self.running.get(ticket) {
-            self.pauses.learn(running.alongside, longest);
+            self.pauses.learn(running.peak_backlog, longest);
         }
     }
 
-    /// Time until the whole answer of a request whose first token comes after `first`; `None` where
-    /// nothing tells.
+    /// Returns the time until the whole answer of a request whose first token comes after `first`; `None` if the
+    /// server has given no answer to learn from.
     pub(crate) fn whole_after(&self, first: Duration, work: &Work) -> Option<Duration> {
-        let answer = self.token_time()? * f64::from(work.answer_tokens);
+        let answer = self.seconds_per_token()? * f64::from(work.answer_tokens);
         Some(first + Duration::from_secs_f64(answer))
     }
 
-    /// Seconds that an answer's token takes, by what callers guessed of the answers' lengths.
-    fn token_time(&self) -> Option<f64> {
+    /// Returns the seconds per answer token, by the estimated lengths of the answers.
+    fn seconds_per_token(&self) -> Option<f64> {
         (self.answers.tokens > 0.0).then(|| self.answers.seconds / self.answers.tokens)
     }
 }
--- a/cypressvane/src/coordination/server/pacing.rs
+++ b/cypressvane/src/coordination/server/pacing.rs
@@ -1,53 +1,56 @@
-//! How many requests a second a backend server takes, as its answers say.
+//! Paces requests to a backend server by the rate limit that its answers name.
 //!
-//! Answers overtake each other. One that allows less counts at once; one that allows more counts only if its request
-//! was granted after the last one that named a limit, since the server may have given any other answer before that.
+//! Answers may arrive out of order. An answer that lowers the limit applies at once. One that raises it applies only
+//! if its request was granted after the last answer that named a limit was received, because the server may have sent
+//! any other answer before that one.
 
-use crate::coordination::limit::bucket::{Bounds, Bucket};
+use crate::coordination::limit::bucket::{Bucket, Parameters};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 use crate::state::units::real;
 
-/// What a server may be given at once, in seconds of its limit, and one request at least.
+/// Requests that a server may get at once, in seconds of its limit; at least one request.
 const BURST_SECONDS: f64 = 0.5;
-/// Least requests a second that a server is given: one that gets none cannot say that it takes requests again.
+/// Lowest rate at which a server gets requests, per second: a server that gets none cannot report that it takes
+/// requests again.
 const RATE_MIN: f64 = 0.5;
-/// What a request takes out of the bucket; a rounding error does not hold it back.
-const REQUEST: f64 = 1.0 - 1e-6;
-/// Longest time that a server rests for what it was given beyond a lower limit, besides the time of a request: it
-/// cannot say meanwhile that it takes more.
-const DEBT_SECONDS: f64 = 4.0;
-
-/// A limit that a server has named.
+/// Level that the bucket needs for a request. It is just below one, so that a rounding error does not delay a
+/// request.
+const REQUEST_LEVEL: f64 = 1.0 - 1e-6;
+/// Longest time that a server gets nothing because it was given more than a lowered limit allows, in addition to the
+/// time for one request. Until then it cannot report a higher limit.
+const DEBT_SECONDS_MAX: f64 = 4.0;
+
+/// A rate limit that a server has named.
 #[derive(Clone, Debug)]
 pub(crate) struct Limit {
-    /// Requests a second, from all hosts together.
+    /// Requests per second, from all hosts together.
     pub(crate) per_second: f64,
-    /// Since when it is known here, whatever its value.
+    /// When this home first knew of a limit, whatever its value.
     pub(crate) since: Instant,
-    /// The host that heard this value.
+    /// The host that received this value.
     pub(crate) heard_by: Name,
     bucket: Bucket,
 }
 
-/// What is known here of the request that an answer belongs to.
+/// What this home knows of the request that an answer belongs to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sent {
-    /// When it was granted.
+pub(crate) struct Granted {
+    /// When the request was granted.
     pub(crate) at: Instant,
-    /// How many granted since, itself among them, still run at the server.
+    /// How many requests that were granted at that time or later still run on the server.
     pub(crate) running: usize,
 }
 
-/// Keeps a server to the limit that it has named, if it has.
+/// Paces requests to a server by the limit that it has named, if any.
 #[derive(Clone, Debug)]
 pub(crate) struct Pacing {
     limit: Option<Limit>,
-    /// When a limit, or the end of one, was heard last.
-    heard: Option<Instant>,
-    /// This home's part of the limit, from 0 to 1.
-    part: f64,
-    /// When the next request may go there; `None` while one may.
+    /// When a limit, or the end of one, was last received.
+    received_at: Option<Instant>,
+    /// This home's share of the limit, from 0 to 1.
+    share: f64,
+    /// When the server may get the next request; `None` if it may get one now.
     opens_at: Option<Instant>,
 }
 
@@ -55,65 +58,76 @@
     fn default() -> Self {
         Self {
             limit: None,
-            heard: None,
-            part: 1.0,
+            received_at: None,
+            share: 1.0,
             opens_at: None,
         }
     }
 }
 
 impl Pacing {
-    /// Without a limit; what was heard before that moment is over.
-    pub(crate) fn after(now: Instant) -> Self {
+    /// Returns the pacing without a limit. Limits that were received at `now` or earlier are ignored when another
+    /// host reports them.
+    pub(crate) fn reset_at(now: Instant) -> Self {
         Self {
-            heard: Some(now),
+            received_at: Some(now),
             ..Self::default()
         }
     }
 
-    /// The limit, where there is one.
+    /// Returns the limit, if there is one.
     pub(crate) fn limit(&self) -> Option<&Limit> {
         self.limit.as_ref()
     }
 
-    /// When the next request may go to the server; `None` while one may.
+    /// Returns when the server may get the next request; `None` if it may get one now.
     pub(crate) fn opens_at(&self) -> Option<Instant> {
         self.opens_at
     }
 
-    /// Requests a second that this home may give the server; `None` without a limit.
+    /// Returns the requests per second that this home may send to the server; `None` without a limit.
     pub(crate) fn rate(&self) -> Option<f64> {
         let limit = self.limit.as_ref()?;
-        Some(rate(limit.per_second, self.part))
+        Some(rate(limit.per_second, self.share))
     }
 
-    /// Requests that may go to the server at once; `None` without a limit.
+    /// Returns the requests that the server may get at once; `None` without a limit.
     pub(crate) fn allowance(&self, now: Instant) -> Option<f64> {
         let mut bucket = self.limit.as_ref()?.bucket;
-        bucket.fill(bounds(self.limit.as_ref()?.per_second, self.part), now);
+        bucket.fill(parameters(self.limit.as_ref()?.per_second, self.share), now);
         Some(bucket.level())
     }
 
-    /// Takes in what an answer names; `sent` is `None` for a request that another home granted.
-    pub(crate) fn hear(&mut self, named: Option<f64>, sent: Option<Sent>, by: &Name, now: Instant) {
+    /// Applies the limit that an answer names, or its absence; `granted` is `None` for a request that another home
+    /// granted.
+    pub(crate) fn apply(
+        &mut self,
+        named: Option<f64>,
+        granted: Option<Granted>,
+        heard_by: &Name,
+        now: Instant,
+    ) {
         let Some(limit) = &self.limit else {
             if let Some(per_second) = named {
-                self.begin(per_second, by, now, now);
+                self.start_limit(per_second, heard_by, now, now);
             }
             return;
         };
         let allows_more = named.is_none_or(|per_second| per_second > limit.per_second);
-        let is_later = sent.is_some_and(|sent| self.heard.is_none_or(|heard| sent.at > heard));
+        let is_later = granted.is_some_and(|granted| {
+            self.received_at
+                .is_none_or(|received_at| granted.at > received_at)
+        });
         if allows_more && !is_later {
             return;
         }
-        self.heard = Some(now);
+        self.received_at = Some(now);
         if let Some(per_second) = named {
-            self.change(per_second, by, now);
-            if let Some(sent) = sent
+            self.change_rate(per_second, heard_by, now);
+            if let Some(granted) = granted
                 && !allows_more
             {
-                self.count_since(sent, now);
+                self.charge_granted_since(granted, now);
             }
         } else {
             self.limit = None;
@@ -121,101 +135,111 @@
         }
     }
 
-    /// Takes in a limit that another host heard some time ago.
-    pub(crate) fn hear_earlier(&mut self, told: &Told, now: Instant) {
-        if self.heard.is_some_and(|heard| told.heard <= heard) {
+    /// Applies a limit that another host received some time ago.
+    pub(crate) fn apply_reported(&mut self, reported: &Told, now: Instant) {
+        if self
+            .received_at
+            .is_some_and(|received_at| reported.heard <= received_at)
+        {
             return;
         }
         match &self.limit {
-            None => self.begin(told.per_second, &told.heard_by, told.heard, now),
-            Some(limit) if told.per_second < limit.per_second => {
-                self.heard = Some(told.heard);
-                self.change(told.per_second, &told.heard_by, now);
+            None => self.start_limit(reported.per_second, &reported.heard_by, reported.heard, now),
+            Some(limit) if reported.per_second < limit.per_second => {
+                self.received_at = Some(reported.heard);
+                self.change_rate(reported.per_second, &reported.heard_by, now);
             }
             Some(_) => {}
         }
     }
 
-    /// What was given before this home knew of the limit is not known, so the bucket is empty.
-    fn begin(&mut self, per_second: f64, by: &Name, heard: Instant, now: Instant) {
-        self.heard = Some(heard);
+    /// Starts to limit the server. The bucket is empty, because what the server was given before this home knew of
+    /// the limit is unknown.
+    fn start_limit(
+        &mut self,
+        per_second: f64,
+        heard_by: &Name,
+        received_at: Instant,
+        now: Instant,
+    ) {
+        self.received_at = Some(received_at);
         self.limit = Some(Limit {
             per_second,
             since: now,
-            heard_by: by.clone(),
-            bucket: Bucket::new(bounds(per_second, self.part), now),
+            heard_by: heard_by.clone(),
+            bucket: Bucket::new(parameters(per_second, self.share), now),
         });
-        self.look(now);
+        self.update(now);
     }
 
-    fn change(&mut self, per_second: f64, by: &Name, now: Instant) {
-        // What was gained up to now was gained at the rate of before.
-        self.look(now);
+    fn change_rate(&mut self, per_second: f64, heard_by: &Name, now: Instant) {
+        // Tokens up to now were gained at the previous rate.
+        self.update(now);
         if let Some(limit) = &mut self.limit
             && limit.per_second.to_bits() != per_second.to_bits()
         {
             limit.per_second = per_second;
-            limit.heard_by = by.clone();
+            limit.heard_by = heard_by.clone();
         }
-        self.look(now);
+        self.update(now);
     }
 
-    /// Empties the bucket as if the limit had been known when that request was granted: those granted since have
-    /// reached a server that takes fewer.
-    fn count_since(&mut self, sent: Sent, now: Instant) {
+    /// Lowers the level as if the limit had been known when the request was granted: those granted since have reached
+    /// a server that takes fewer.
+    fn charge_granted_since(&mut self, granted: Granted, now: Instant) {
         let Some(limit) = &mut self.limit else {
             return;
         };
-        let bounds = bounds(limit.per_second, self.part);
-        let gained = now.saturating_duration_since(sent.at).as_secs_f64() * bounds.rate();
-        let level = bounds.most() + gained - real(sent.running as u64);
-        let floor = -bounds.rate() * DEBT_SECONDS;
-        limit.bucket.lower(level.max(floor));
-        self.look(now);
+        let parameters = parameters(limit.per_second, self.share);
+        let gained = now.saturating_duration_since(granted.at).as_secs_f64() * parameters.rate();
+        let level = parameters.capacity() + gained - real(granted.running as u64);
+        let floor = -parameters.rate() * DEBT_SECONDS_MAX;
+        limit.bucket.lower_to(level.max(floor));
+        self.update(now);
     }
 
-    /// Sets this home's part of the limit.
-    pub(crate) fn share(&mut self, part: f64, now: Instant) {
-        self.look(now);
-        self.part = part;
-        self.look(now);
+    /// Sets this home's share of the limit.
+    pub(crate) fn set_share(&mut self, share: f64, now: Instant) {
+        self.update(now);
+        self.share = share;
+        self.update(now);
     }
 
     /// Counts a request that is granted.
     pub(crate) fn take(&mut self, now: Instant) {
-        self.look(now);
+        self.update(now);
         if let Some(limit) = &mut self.limit {
             limit.bucket.take(1.0);
         }
-        self.look(now);
+        self.update(now);
     }
 
-    /// Finds out when the next request may go there.
-    pub(crate) fn look(&mut self, now: Instant) {
-        let part = self.part;
+    /// Fills the bucket and updates when the server may get the next request.
+    pub(crate) fn update(&mut self, now: Instant) {
+        let share = self.share;
         self.opens_at = self.limit.as_mut().and_then(|limit| {
-            limit.bucket.fill(bounds(limit.per_second, part), now);
-            limit.bucket.wait(REQUEST).map(|wait| now + wait)
+            limit.bucket.fill(parameters(limit.per_second, share), now);
+            limit.bucket.wait(REQUEST_LEVEL).map(|wait| now + wait)
         });
     }
 }
 
-/// A limit as a host tells a home of it that may not know it.
+/// A limit as a host reports it to a home that may not know it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// When the host heard it.
+    /// When the host received it.
     pub heard: Instant,
-    /// The host.
+    /// The host that received it.
     pub heard_by: Name,
 }
 
-fn rate(per_second: f64, part: f64) -> f64 {
-    per_second.max(RATE_MIN) * part
+fn rate(per_second: f64, share: f64) -> f64 {
+    per_second.max(RATE_MIN) * share
 }
 
-fn bounds(per_second: f64, part: f64) -> Bounds {
-    let rate = rate(per_second, part);
-    Bounds::steady(rate, (rate * BURST_SECONDS).max(1.0))
+fn parameters(per_second: f64, share: f64) -> Parameters {
+    let rate = rate(per_second, share);
+    Parameters::starting_empty(rate, (rate * BURST_SECONDS).max(1.0))
 }
--- a/cypressvane/src/coordination/servers/mod.rs
+++ b/cypressvane/src/coordination/servers/mod.rs
@@ -1,4 +1,4 @@
-//! The backend servers of a pool, indexed so that a decision looks at few of them.
+//! The backend servers of a pool, indexed so that a decision scans few of them.
 
 pub(crate) mod placement;
 
@@ -16,7 +16,7 @@
 use crate::state::name::Name;
 use crate::state::units::real;
 
-/// A change of what is believed of a server.
+/// A change of a server's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Change {
     pub(crate) server: Name,
@@ -24,51 +24,51 @@
     pub(crate) after: &'static str,
 }
 
-/// A change of the limit that a server names; `None` where it names none.
+/// A change of the limit that a server names; `None` if it names none.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LimitChange {
     pub(crate) server: Name,
     pub(crate) before: Option<f64>,
     pub(crate) after: Option<f64>,
-    /// The host that heard it.
+    /// The host that received the new value, or the earlier value if the server no longer names a limit.
     pub(crate) heard_by: Name,
 }
 
-/// Most limits that are kept of servers which the host list does not have yet.
+/// Most limits that are kept for servers that are not in the host list yet.
 const UNLISTED_MAX: usize = 1_024;
 
 /// The servers of a pool.
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
-    /// What is believed of a new one.
+    /// Initial assumptions about a new server.
     belief: Belief,
     list: Vec<Server>,
     by_name: HashMap<Name, usize>,
-    /// Those that may be given a request now.
+    /// Indexes of the servers that may be given a request now.
     open: BTreeSet<usize>,
-    /// Those that get nothing for a while, since they are left alone or by their limits, by the end of it; an entry may
-    /// be out of date.
-    resting: BTreeSet<(Instant, usize)>,
-    /// Each server's part of the pool's speed.
-    parts: Vec<f64>,
-    /// Prompt tokens a second of all servers that stay.
+    /// Servers that get nothing for a while, because they are down or because of their limits, sorted by the end of
+    /// that time. Entries may be out of date.
+    unavailable: BTreeSet<(Instant, usize)>,
+    /// Contribution of each server to `rate`.
+    rates: Vec<f64>,
+    /// Prompt tokens per second of all servers that are not leaving.
     rate: f64,
-    /// What is believed of each server, as it was told last.
-    told: HashMap<Name, &'static str>,
-    /// Changes of belief that were not told yet.
+    /// State of each server when it was last recorded.
+    states: HashMap<Name, &'static str>,
+    /// State changes that were not taken yet.
     changes: Vec<Change>,
-    /// Changes of limits that were not told yet.
+    /// Changes of limits that were not taken yet.
     limit_changes: Vec<LimitChange>,
-    /// Limits of servers that the host list does not have yet.
+    /// Limits of servers that are not in the host list yet.
     unlisted: HashMap<Name, Told>,
-    /// This home's part of the servers' limits; `None` before it is known.
-    part: Option<f64>,
-    /// Where the next look begins in a pool larger than a look.
-    next: usize,
+    /// This home's share of the servers' limits; `None` before it is known.
+    share: Option<f64>,
+    /// Where the last scan began in a pool that is larger than one scan.
+    scan_start: usize,
 }
 
 impl Servers {
-    /// No servers yet; `belief` is what will be believed of each at first.
+    /// Creates an empty set; `belief` holds the initial assumptions about each server.
     pub(crate) fn new(belief: Belief) -> Self {
         Self {
             belief,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Takes over what the host list says; a server that is no longer there finishes its work. Returns the requests that ran
-    /// at servers which were started again.
+    /// Applies the host list. A server that is no longer listed finishes its requests. Returns the requests that ran
+    /// on servers which were restarted.
     pub(crate) fn follow(&mut self, specs: &[Spec], now: Instant) -> Vec<Ticket> {
         let known: HashMap<&Name, &Spec> = specs.iter().map(|spec| (&spec.name, spec)).collect();
         for server in &mut self.list {
@@ -87,13 +87,13 @@
         }
         self.list
             .retain(|server| known.contains_key(&server.name) || server.running() > 0);
-        self.index();
-        let mut over = Vec::new();
+        self.rebuild_indexes();
+        let mut ended = Vec::new();
         for spec in specs {
-            over.extend(self.follow_one(spec, now));
+            ended.extend(self.follow_one(spec, now));
         }
-        self.index();
-        over
+        self.rebuild_indexes();
+        ended
     }
 
     fn follow_one(&mut self, spec: &Spec, now: Instant) -> Vec<Ticket> {
@@ -101,11 +101,11 @@
             self.list.push(Server::new(spec, &self.belief, now));
             self.list.len() - 1
         });
-        let part = self.part;
-        let told = self.unlisted.remove(&spec.name);
+        let share = self.share;
+        let reported = self.unlisted.remove(&spec.name);
         let server = &mut self.list[index];
-        let over = match server.compare_start(spec) {
-            // An entry of an earlier start that comes late.
+        let ended = match server.compare_start(spec) {
+            // A late entry of an earlier start.
             Ordering::Less => return Vec::new(),
             Ordering::Equal => Vec::new(),
             Ordering::Greater => {
@@ -115,39 +115,39 @@
             }
         };
         server.follow(spec, now);
-        if let Some(part) = part {
-            server.pacing.share(part, now);
+        if let Some(share) = share {
+            server.pacing.set_share(share, now);
         }
-        if let Some(told) = told {
-            server.pacing.hear_earlier(&told, now);
+        if let Some(reported) = reported {
+            server.pacing.apply_reported(&reported, now);
         }
         if spec.leaving {
             server.health.set(State::Leaving, now);
         } else if server.health.state == State::Leaving {
             server.health.set(State::Trial, now);
         }
-        over
+        ended
     }
 
-    /// Builds all indexes anew.
-    fn index(&mut self) {
-        let names = self.list.iter().enumerate();
-        self.by_name = names
+    /// Rebuilds all indexes.
+    fn rebuild_indexes(&mut self) {
+        let servers = self.list.iter().enumerate();
+        self.by_name = servers
             .map(|(index, server)| (server.name.clone(), index))
             .collect();
         let known = &self.by_name;
-        self.told.retain(|name, _| known.contains_key(name));
+        self.states.retain(|name, _| known.contains_key(name));
         self.open.clear();
-        self.resting.clear();
-        self.parts = vec![0.0; self.list.len()];
+        self.unavailable.clear();
+        self.rates = vec![0.0; self.list.len()];
         self.rate = 0.0;
         for index in 0..self.list.len() {
-            self.settle(index);
+            self.reindex(index);
         }
     }
 
-    /// Brings the indexes of one server up to date after it has changed.
-    fn settle(&mut self, index: usize) {
+    /// Updates the indexes of one server after a change.
+    fn reindex(&mut self, index: usize) {
         let server = &self.list[index];
         if server.is_open() {
             self.open.insert(index);
@@ -155,7 +155,7 @@
             self.open.remove(&index);
         }
         let after = server.health.state.text();
-        if let Some(before) = self.told.insert(server.name.clone(), after)
+        if let Some(before) = self.states.insert(server.name.clone(), after)
             && before != after
         {
             self.changes.push(Change {
@@ -165,67 +165,67 @@
             });
         }
         if let State::Down { until } = server.health.state {
-            self.resting.insert((until, index));
+            self.unavailable.insert((until, index));
         }
         if let Some(at) = server.pacing.opens_at() {
-            self.resting.insert((at, index));
+            self.unavailable.insert((at, index));
         }
-        let part = if server.health.state == State::Leaving {
+        let rate = if server.health.state == State::Leaving {
             0.0
         } else {
             server.rate()
         };
-        self.rate += part - self.parts[index];
-        self.parts[index] = part;
+        self.rate += rate - self.rates[index];
+        self.rates[index] = rate;
     }
 
-    /// Takes the changes of belief since the last look.
+    /// Takes the state changes since the last call.
     pub(crate) fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Puts servers on trial that were left alone for long enough, and opens those whose limits allow it.
+    /// Puts servers whose time down is over on trial, and opens those whose limits allow it.
     pub(crate) fn wake(&mut self, now: Instant) {
-        // An index in these is of the list, which only `follow` changes.
-        let later = self.resting.split_off(&(now, usize::MAX));
-        let due = std::mem::replace(&mut self.resting, later);
+        // The indexes in `unavailable` refer to `list`, which changes only in `follow`, and `follow` rebuilds them.
+        let later = self.unavailable.split_off(&(now, usize::MAX));
+        let due = std::mem::replace(&mut self.unavailable, later);
         for (until, index) in due {
             let server = &mut self.list[index];
             if server.health.state == (State::Down { until }) {
                 server.health.set(State::Trial, now);
             }
-            server.pacing.look(now);
-            self.settle(index);
+            server.pacing.update(now);
+            self.reindex(index);
         }
     }
 
-    /// Takes in what a server's answer says of its limit; `sent` is when its request was granted here.
+    /// Applies the limit that a server's answer names; `granted_at` is when its request was granted here.
     pub(crate) fn hear_limit(
         &mut self,
         name: &Name,
         named: Option<f64>,
-        sent: Option<Instant>,
+        granted_at: Option<Instant>,
         by: &Name,
         now: Instant,
     ) {
-        self.pace(name, |server| server.hear_limit(named, sent, by, now));
+        self.change_limit(name, |server| server.hear_limit(named, granted_at, by, now));
     }
 
-    /// Takes in a limit that a host heard some time ago, also of a server that is not listed yet.
+    /// Applies a limit that a host received some time ago. The server may not be listed yet.
     pub(crate) fn hear_earlier_limit(&mut self, name: &Name, told: Told, now: Instant) {
         if self.by_name.contains_key(name) {
-            self.pace(name, |server| server.pacing.hear_earlier(&told, now));
+            self.change_limit(name, |server| server.pacing.apply_reported(&told, now));
             return;
         }
         if self.unlisted.len() >= UNLISTED_MAX {
-            // Some are of servers that will never be listed, and which ones is not known.
+            // Some of these servers will never be listed, and it is unknown which.
             self.unlisted.clear();
         }
         self.unlisted.insert(name.clone(), told);
     }
 
-    /// Changes what is known of a server's limit, and notes a change of its value.
-    fn pace(&mut self, name: &Name, change: impl FnOnce(&mut Server)) {
+    /// Changes a server's limit, and records a change of its value.
+    fn change_limit(&mut self, name: &Name, change: impl FnOnce(&mut Server)) {
         let value = |server: &Server| {
             let limit = server.pacing.limit()?;
             Some((limit.per_second, limit.heard_by.clone()))
@@ -252,36 +252,41 @@
         }
     }
 
-    /// Sets this home's part of the servers' limits.
-    pub(crate) fn share(&mut self, part: f64, now: Instant) {
-        if self.part == Some(part) {
+    /// Sets this home's share of the servers' limits.
+    pub(crate) fn share(&mut self, share: f64, now: Instant) {
+        if self.share == Some(share) {
             return;
         }
-        self.part = Some(part);
+        self.share = Some(share);
         for index in 0..self.list.len() {
-            self.list[index].pacing.share(part, now);
-            self.settle(index);
+            self.list[index].pacing.set_share(share, now);
+            self.reindex(index);
         }
     }
 
-    /// Number of servers that name a limit.
+    /// Returns the number of servers that name a limit.
     pub(crate) fn limited(&self) -> usize {
         let is_limited = |server: &&Server| server.pacing.limit().is_some();
         self.list.iter().filter(is_limited).count()
     }
 
-    /// Requests a second that the servers' limits allow; `None` while one takes work that names no limit.
+    /// Returns the requests per second that the servers' limits allow; `None` if no server takes work, or if one that
+    /// does names no limit.
     pub(crate) fn requests_per_second(&self) -> Option<f64> {
-        let mut working = self.list.iter().filter(|server| server.works()).peekable();
+        let mut working = self
+            .list
+            .iter()
+            .filter(|server| server.takes_work())
+            .peekable();
         working.peek()?;
         working.map(|server| server.pacing.rate()).sum()
     }
 
-    /// Time that the servers' limits make a request wait that has `ahead` others before it; none while a server takes
-    /// work that names no limit.
+    /// Returns how long the servers' limits delay a request that has `ahead` others before it; `None` if no server
+    /// takes work, or if one that does names no limit.
     pub(crate) fn paced_wait(&self, ahead: usize, now: Instant) -> Option<Duration> {
         let rate = self.requests_per_second()?;
-        let working = self.list.iter().filter(|server| server.works());
+        let working = self.list.iter().filter(|server| server.takes_work());
         let allowed: f64 = working
             .filter_map(|server| server.pacing.allowance(now))
             .sum();
@@ -289,12 +294,12 @@
         Duration::try_from_secs_f64(missing / rate).ok()
     }
 
-    /// Takes the changes of limits since the last look.
+    /// Takes the changes of limits since the last call.
     pub(crate) fn take_limit_changes(&mut self) -> Vec<LimitChange> {
         std::mem::take(&mut self.limit_changes)
     }
 
-    /// Changes the server of that name, if it is known.
+    /// Changes the server with this name, if it is known.
     pub(crate) fn change<T>(
         &mut self,
         name: &Name,
@@ -302,11 +307,11 @@
     ) -> Option<T> {
         let index = self.by_name.get(name).copied()?;
         let result = change(&mut self.list[index]);
-        self.settle(index);
+        self.reindex(index);
         Some(result)
     }
 
-    /// The server of that name.
+    /// Returns the server with this name.
     pub(crate) fn get(&self, name: &Name) -> Option<&Server> {
         self.by_name.get(name).map(|index| &self.list[*index])
     }
@@ -316,25 +321,25 @@
         !self.open.is_empty()
     }
 
-    /// Prompt tokens a second of all servers that stay.
+    /// Returns the prompt tokens per second of all servers that are not leaving.
     pub(crate) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Forgets and returns every request of which `gone` says so, given when it was sent.
+    /// Removes and returns every request that `gone` selects by its ticket and the time when it was sent.
     pub(crate) fn forget(&mut self, gone: impl Fn(&Ticket, Instant) -> bool) -> Vec<Ticket> {
         let mut tickets = Vec::new();
         for index in 0..self.list.len() {
             let forgotten = self.list[index].forget(&gone);
             if !forgotten.is_empty() {
                 tickets.extend(forgotten);
-                self.settle(index);
+                self.reindex(index);
             }
         }
         tickets
     }
 
-    /// Places of live servers that nothing runs in.
+    /// Returns the free places of live servers that their limits allow to be filled now.
     pub(crate) fn idle_places(&self, now: Instant) -> u32 {
         let idle = |server: &Server| match server.health.state {
             State::Live => server.idle_places(now),
@@ -343,18 +348,21 @@
         self.list.iter().map(idle).sum()
     }
 
-    /// Number of servers that take work.
+    /// Returns the number of servers that take work.
     pub(crate) fn working(&self) -> usize {
-        self.list.iter().filter(|server| server.works()).count()
+        self.list
+            .iter()
+            .filter(|server| server.takes_work())
+            .count()
     }
 
-    /// Whether no server but that one takes work.
+    /// Whether no server other than `name` takes work.
     pub(crate) fn is_alone(&self, name: &Name) -> bool {
         let mut others = self.list.iter().filter(|server| server.name != *name);
-        !others.any(Server::works)
+        !others.any(Server::takes_work)
     }
 
-    /// Their part of the state dump.
+    /// Returns the servers' part of the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Vec<dump::Server> {
         self.list.iter().map(|server| server.dump(now)).collect()
     }
--- a/cypressvane/src/coordination/servers/placement.rs
+++ b/cypressvane/src/coordination/servers/placement.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to.
+//! Selects the server for a request.
 
 use std::cell::LazyCell;
 use std::time::Duration;
@@ -11,73 +11,74 @@
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 
-/// Part of a promised first-token time that a server's backlog may take; the rest covers messages,
-/// speeds that are not quite known, and the engine's own batching.
+/// Share of a promised first-token time that a server's backlog may take. The remainder covers messages, inaccurate
+/// speeds and the engine's own batching.
 pub(crate) const WINDOW_SHARE: f64 = 0.5;
-/// How much more speed than the higher tiers ask for is kept soon free for them.
-const KEPT_FOR_HIGHER: f64 = 1.5;
-/// Largest part of the pool's speed that is kept, so that long prompts of low tiers go on.
-const KEPT_MAX: f64 = 0.9;
-/// Most servers that one decision looks at; a larger pool is looked at in turn.
-const LOOK_MAX: usize = 256;
-
-/// How far a prompt may fill a server.
+/// Multiple of the rate that higher tiers ask for which is reserved for them on servers that are soon free.
+const HIGHER_RESERVE_FACTOR: f64 = 1.5;
+/// Largest share of the pool's rate that is reserved, so that long prompts of low tiers still run.
+const HIGHER_RESERVE_SHARE_MAX: f64 = 0.9;
+/// Most servers that one decision scans; a larger pool is scanned in turns.
+const SCAN_MAX: usize = 256;
+
+/// Limits on how far a prompt may fill a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Room {
-    /// Longest time to the first token behind what is there already.
+    /// Longest time to the first token behind the server's backlog.
     pub(crate) window: Duration,
-    /// What higher tiers ask for. A prompt longer than the window goes alone to a server, but only
-    /// if those that stay soon free carry the higher tiers.
+    /// The demand of higher tiers. A prompt that is longer than the window gets a server to itself, but only if the
+    /// other servers that are soon free can carry the higher tiers.
     pub(crate) higher: Option<Higher>,
 }
 
-/// What a request would rather have, other things being equal.
+/// Preferences of a request, which decide between servers that are otherwise equal.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Likes {
-    /// A server that has lately read what its prompt begins with.
+    /// A server that has recently read the opening of the prompt.
     pub(crate) opening: Option<u64>,
-    /// A server in its holder's data centre.
+    /// A server in the data centre of the request's holder.
     pub(crate) data_centre: Option<Name>,
 }
 
-/// The server that is best for a prompt.
+/// The best server for a prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Choice {
-    /// Its name.
+    /// The server's name.
     pub(crate) server: Name,
-    /// Time until the first token.
+    /// Forecast time to the first token.
     pub(crate) first_token: Duration,
 }
 
 impl Servers {
-    /// The open server that is best for an offer which is worth a place only on time, or a late one;
-    /// `None` when it had better wait.
+    /// Returns the best open server for an offer that is placed only if it is on time, or for a late one; `None` if
+    /// it had better wait.
     ///
-    /// An offer that is on time gets a server that keeps it so, and none gets one where it would make
-    /// others late, as long as another server of the pool does better.
+    /// An offer that is on time goes only to a server on which it stays on time, and no offer goes where it would
+    /// make others late, as long as another server of the pool does better.
     pub(crate) fn place(&mut self, offer: &Offer, now: Instant) -> Option<Choice> {
-        let first = self.turn();
+        let first = self.next_scan_start();
         let tokens = u64::from(offer.prompt_tokens);
         let due = offer.due();
         let (likes, work) = (offer.likes(), offer.work());
-        // Worked out only where it matters, since it looks at every server.
-        let is_even_somewhere = LazyCell::new(|| self.is_even_somewhere(tokens, offer.pause));
-        let ends_somewhere = LazyCell::new(|| self.ends_somewhere(&work, offer.whole_by, now));
+        // These scan all servers, so they are evaluated only if they matter.
+        let any_keeps_pauses_within =
+            LazyCell::new(|| self.any_keeps_pauses_within(tokens, offer.pause));
+        let any_answers_by = LazyCell::new(|| self.any_answers_by(&work, offer.whole_by, now));
         self.cheapest(first, |server| {
             let time = server.first_token_in(tokens, now);
             if now + time > due {
                 return None;
             }
-            let stays_even = offer.late || server.is_even(0, offer.pause);
-            let is_kind = stays_even && server.spares_others(tokens);
-            if !is_kind && *is_even_somewhere {
+            let keeps_own_pauses = offer.late || server.keeps_pauses_within(0, offer.pause);
+            let keeps_all_pauses = keeps_own_pauses && server.keeps_streams_on_time(tokens);
+            if !keeps_all_pauses && *any_keeps_pauses_within {
                 return None;
             }
             let ends = server.whole_after(time, &work);
-            if ends.is_some_and(|ends| now + ends > offer.whole_by) && *ends_somewhere {
+            if ends.is_some_and(|ends| now + ends > offer.whole_by) && *any_answers_by {
                 return None;
             }
-            let mut cost = time + self.price(server, &likes, now);
+            let mut cost = time + self.extra_cost(server, &likes, now);
             if offer.avoid.as_ref() == Some(&server.name) {
                 cost += offer.first_token;
             }
@@ -85,16 +86,16 @@
         })
     }
 
-    /// The open server that costs least, looked at from `first` on; `bid` gives its cost and the time to
-    /// the first token there, or rules it out.
+    /// Returns the open server with the lowest cost, scanning from `first` on. `bid` returns the cost and the time to
+    /// the first token for a server, or `None` to rule the server out.
     fn cheapest(
         &self,
         first: usize,
         bid: impl Fn(&Server) -> Option<(Duration, Duration)>,
     ) -> Option<Choice> {
-        let in_turn = self.open.range(first..).chain(self.open.range(..first));
-        let looked_at = in_turn.take(LOOK_MAX).map(|index| &self.list[*index]);
-        let bids = looked_at.filter_map(|server| Some((bid(server)?, server)));
+        let in_scan_order = self.open.range(first..).chain(self.open.range(..first));
+        let scanned = in_scan_order.take(SCAN_MAX).map(|index| &self.list[*index]);
+        let bids = scanned.filter_map(|server| Some((bid(server)?, server)));
         let ((_, first_token), server) = bids.min_by_key(|((cost, _), _)| *cost)?;
         Some(Choice {
             server: server.name.clone(),
@@ -102,42 +103,42 @@
         })
     }
 
-    /// Whether a server that takes work could give a whole answer by then.
-    fn ends_somewhere(&self, work: &Work, by: Instant, now: Instant) -> bool {
+    /// Whether a server that takes work could give a whole answer before `by`.
+    fn any_answers_by(&self, work: &Work, by: Instant, now: Instant) -> bool {
         let ends = |server: &Server| {
             server.whole_after(server.first_token_in(work.prompt_tokens, now), work)
         };
-        self.able()
+        self.live_unlimited()
             .any(|server| ends(server).is_none_or(|ends| now + ends <= by))
     }
 
-    /// Whether a server that takes work could read a prompt without making streams late.
-    fn is_even_somewhere(&self, prompt_tokens: u64, pause: Duration) -> bool {
-        self.able()
-            .any(|server| server.is_even(prompt_tokens, pause))
+    /// Whether a server that takes work could read a prompt and keep the pauses of its streams within `pause`.
+    fn any_keeps_pauses_within(&self, prompt_tokens: u64, pause: Duration) -> bool {
+        self.live_unlimited()
+            .any(|server| server.keeps_pauses_within(prompt_tokens, pause))
     }
 
-    /// Servers that take work, as many as one decision looks at.
+    /// Returns the live servers, at most as many as one decision scans.
     fn live(&self) -> impl Iterator<Item = &Server> {
         let is_live = |server: &&Server| server.health.state == State::Live;
-        self.list.iter().filter(is_live).take(LOOK_MAX)
+        self.list.iter().filter(is_live).take(SCAN_MAX)
     }
 
-    /// Those of them that no limit holds back: an offer does not wait for another one's limit to allow it.
-    fn able(&self) -> impl Iterator<Item = &Server> {
+    /// Returns the live servers that no limit delays. An offer does not wait for a server until the server's limit
+    /// allows it.
+    fn live_unlimited(&self) -> impl Iterator<Item = &Server> {
         self.live()
             .filter(|server| server.pacing.opens_at().is_none())
     }
 
-    /// Time to the first token of a prompt on the fastest server that takes work, with nothing else
-    /// to read there.
+    /// Returns the time to the first token of a prompt on the fastest live server, if that server reads nothing else.
     pub(crate) fn fastest(&self, prompt_tokens: u64) -> Option<Duration> {
         self.live()
-            .map(|server| server.first_token_alone(prompt_tokens))
+            .map(|server| server.first_token_when_idle(prompt_tokens))
             .min()
     }
 
-    /// The open server with the soonest first token, if `room` lets it have the prompt.
+    /// Returns the open server with the lowest cost, if `room` lets it have the prompt.
     pub(crate) fn choose(
         &mut self,
         prompt_tokens: u64,
@@ -145,75 +146,83 @@
         likes: &Likes,
         now: Instant,
     ) -> Option<Choice> {
-        let first = self.turn();
-        // Worked out only for a prompt that needs it, since it looks at every server.
-        let spare = LazyCell::new(|| self.spare(room, now));
+        let first = self.next_scan_start();
+        // This scans all servers, so it is evaluated only for a prompt that needs it.
+        let spare_rate = LazyCell::new(|| self.spare_rate(room, now));
         self.cheapest(first, |server| {
-            let alone = || server.backlog() == 0 && server.rate() <= *spare;
-            // An overdue one comes last, and is not ruled out: one request may be stuck for itself.
-            if server.first_token_if_well(prompt_tokens) > room.window && !alone() {
+            let alone = || server.backlog() == 0 && server.rate() <= *spare_rate;
+            // An overdue server comes last but is not ruled out: a single request may be stuck through no fault of
+            // the server.
+            if server.first_token_behind_backlog(prompt_tokens) > room.window && !alone() {
                 return None;
             }
             let time = server.first_token_in(prompt_tokens, now);
-            Some((time + self.price(server, likes, now), time))
+            Some((time + self.extra_cost(server, likes, now), time))
         })
     }
 
-    /// What a server costs beside time, as the time that would be given for it.
-    fn price(&self, server: &Server, likes: &Likes, now: Instant) -> Duration {
-        let is_elsewhere = likes.data_centre.is_some() && server.data_centre != likes.data_centre;
-        let is_new = likes
+    /// Returns the costs of a server other than time, expressed as time.
+    fn extra_cost(&self, server: &Server, likes: &Likes, now: Instant) -> Duration {
+        let is_in_other_data_centre =
+            likes.data_centre.is_some() && server.data_centre != likes.data_centre;
+        let lacks_opening = likes
             .opening
-            .is_some_and(|opening| !server.knows_opening(opening, now));
-        let mut price = Duration::ZERO;
-        if is_elsewhere {
-            price += self.belief.distance;
+            .is_some_and(|opening| !server.has_opening(opening, now));
+        let mut cost = Duration::ZERO;
+        if is_in_other_data_centre {
+            cost += self.belief.distance;
         }
-        if is_new {
-            price += self.belief.opening;
+        if lacks_opening {
+            cost += self.belief.opening;
         }
-        price
+        cost
     }
 
-    /// Prompt tokens a second that long prompts may take from the servers which are soon free.
-    fn spare(&self, room: &Room, now: Instant) -> f64 {
+    /// Returns the prompt tokens per second that long prompts may take from the servers that are soon free.
+    fn spare_rate(&self, room: &Room, now: Instant) -> f64 {
         let Some(higher) = room.higher else {
             return f64::INFINITY;
         };
-        let is_soon = |server: &&Server| {
-            server.returns_in(now) == Some(Duration::ZERO)
+        let is_soon_free = |server: &&Server| {
+            server.available_in(now) == Some(Duration::ZERO)
                 && server.first_token_in(0, now) <= higher.first_token.mul_f64(WINDOW_SHARE)
         };
-        let soon: f64 = self.list.iter().filter(is_soon).map(Server::rate).sum();
-        let kept = (higher.rate * KEPT_FOR_HIGHER).min(self.rate * KEPT_MAX);
-        soon - kept
+        let available: f64 = self
+            .list
+            .iter()
+            .filter(is_soon_free)
+            .map(Server::rate)
+            .sum();
+        let reserved =
+            (higher.rate * HIGHER_RESERVE_FACTOR).min(self.rate * HIGHER_RESERVE_SHARE_MAX);
+        available - reserved
     }
 
-    /// Where a look begins: at the first server, unless the pool is larger than a look.
-    fn turn(&mut self) -> usize {
-        if self.list.len() <= LOOK_MAX {
+    /// Returns where a scan begins: at the first server, unless the pool is larger than one scan.
+    fn next_scan_start(&mut self) -> usize {
+        if self.list.len() <= SCAN_MAX {
             return 0;
         }
-        self.next = (self.next + LOOK_MAX) % self.list.len();
-        self.next
+        self.scan_start = (self.scan_start + SCAN_MAX) % self.list.len();
+        self.scan_start
     }
 
-    /// Time to the first token on the server that would be soonest, the rest of a failing server
-    /// included; `None` when no server stays.
+    /// Returns the time to the first token on the server where it would come first, including the time that a server
+    /// is down; `None` if all servers are leaving.
     pub(crate) fn soonest(&mut self, prompt_tokens: u64, now: Instant) -> Option<Duration> {
-        let first = self.turn();
+        let first = self.next_scan_start();
         let time = |server: &Server| {
-            let returns = server.returns_in(now)?;
-            Some(returns + server.first_token_in(prompt_tokens, now))
+            let available = server.available_in(now)?;
+            Some(available + server.first_token_in(prompt_tokens, now))
         };
-        let looked_at = self
+        let scanned = self
             .list
             .iter()
             .cycle()
             .skip(first)
-            .take(self.list.len().min(LOOK_MAX));
-        let soonest = looked_at.filter_map(time).min();
-        // A look at a part of the pool may meet only servers that are leaving.
+            .take(self.list.len().min(SCAN_MAX));
+        let soonest = scanned.filter_map(time).min();
+        // A scan of a part of the pool may see only servers that are leaving.
         soonest.or_else(|| self.list.iter().filter_map(time).min())
     }
 }
