--- a/cypressvane/src/transport/platform/fetch.rs
+++ b/cypressvane/src/transport/platform/fetch.rs
@@ -1,4 +1,4 @@
-//! Takes the configuration from other hosts that have a newer one.
+//! Fetches the configuration from other hosts that have a newer one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,49 +8,49 @@
 use http_types::headers::AUTHORIZATION;
 use smol::Timer;
 
-use super::install::{Error, activate, activate_outside};
+use super::install::{Error, activate, activate_external};
 use crate::protocol::message;
 use crate::protocol::message::{CONFIG_PATH, PROTOCOL};
 use crate::state::manifest::Bundle;
 use crate::transport::http::client;
 use crate::transport::node::Node;
 
-/// Time in which this host's own look at the platform brings a version that another host told of, if it brings it:
-/// the platform tells all hosts of a change within some milliseconds.
-const OWN_LOOK: Duration = Duration::from_millis(500);
-/// Most hosts that are asked in a row: the next nudge begins anew, with what is known by then.
-const ASKED_MAX: usize = 3;
-/// Longest time to read the configuration from another host.
-const PEER_TIME: Duration = Duration::from_secs(2);
-/// Largest configuration that another host may give, in bytes.
+/// Time that this host's own poll of the platform is given to deliver a version that another host has announced: the
+/// platform notifies all hosts of a change within some milliseconds.
+const OWN_POLL_GRACE: Duration = Duration::from_millis(500);
+/// Most hosts asked in a row. The next nudge starts over with the hosts that have a newer version by then.
+const HOSTS_ASKED_MAX: usize = 3;
+/// Timeout for reading the configuration from another host.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest configuration accepted from another host, in bytes.
 const BUNDLE_BYTES_MAX: u64 = 64 << 20;
 
-/// Takes each version from other hosts that this host's own looks do not bring, for as long as it runs; tells
-/// `overtaken` when it did.
+/// Fetches the versions that this host's own polls do not deliver from other hosts, for as long as it runs; signals
+/// `fetched` after each.
 ///
-/// A host that the platform turns away, or whose call is silent, else refuses what every other host serves. Each
-/// heartbeat that tells of a newer version is a nudge, so a round that failed is followed by others.
-pub(super) async fn keep_up(node: &Node, nudges: &Receiver<()>, overtaken: &Sender<()>) {
+/// Otherwise a host that the platform rejects, or whose call gets no answer, would refuse what every other host serves.
+/// Each heartbeat that announces a newer version is a nudge, so a failed round is followed by others.
+pub(super) async fn follow_peers(node: &Node, nudges: &Receiver<()>, fetched: &Sender<()>) {
     // The node keeps the sender, so the channel does not close while the host runs.
     while nudges.recv().await.is_ok() {
-        let told = node.links.newest_version();
-        Timer::after(OWN_LOOK).await;
-        // Versions that were told of meanwhile have their own time.
-        if node.version() < told && newest(node).await {
-            // A full channel tells it already.
-            let _ = overtaken.try_send(());
+        let announced = node.links.newest_version();
+        Timer::after(OWN_POLL_GRACE).await;
+        // Versions announced meanwhile get this time of their own.
+        if node.version() < announced && newest(node).await {
+            // A full channel already holds the signal.
+            let _ = fetched.try_send(());
         }
     }
 }
 
-/// Takes a newer version from another host that told of one; tells whether one gave it.
+/// Fetches a newer version from a host that has announced one; returns whether one was installed.
 pub(super) async fn newest(node: &Node) -> bool {
     let before = node.version();
     let ahead = node.links.ahead_of(before);
-    for address in ahead.into_iter().take(ASKED_MAX) {
-        match from_host(node, address).await {
+    for address in ahead.into_iter().take(HOSTS_ASKED_MAX) {
+        match fetch_from(node, address).await {
             Ok(true) => return true,
-            // This host's own look has brought it meanwhile.
+            // This host's own poll has delivered a newer version meanwhile.
             Ok(false) if node.version() > before => return false,
             Ok(false) => {}
             Err(error) => {
@@ -64,14 +64,14 @@
     false
 }
 
-async fn from_host(node: &Node, address: SocketAddr) -> Result<bool, Error> {
+async fn fetch_from(node: &Node, address: SocketAddr) -> Result<bool, Error> {
     let mut request = client::request(Method::Get, address, CONFIG_PATH);
     request.insert_header(
         AUTHORIZATION,
         format!("Bearer {}", node.config.host.peer_key),
     );
     request.insert_header(PROTOCOL, message::VERSION);
-    let reply = client::call(address, request, BUNDLE_BYTES_MAX, PEER_TIME).await?;
+    let reply = client::call(address, request, BUNDLE_BYTES_MAX, PEER_TIMEOUT).await?;
     if !reply.is_success() {
         return Ok(false);
     }
@@ -87,7 +87,7 @@
     let version = bundle.record.version;
     let active = if node.source.is_some() {
         let fleet = bundle.manifest.join(&bundle.texts)?;
-        activate_outside(version, fleet).await?
+        activate_external(version, fleet).await?
     } else {
         activate(bundle).await?
     };
--- a/cypressvane/src/transport/platform/install.rs
+++ b/cypressvane/src/transport/platform/install.rs
@@ -1,4 +1,4 @@
-//! Checks versions of the configuration and makes ready what the path of a request needs of them.
+//! Checks configuration versions and derives what the request path needs from them.
 
 use std::sync::OnceLock;
 
@@ -9,27 +9,27 @@
 use crate::transport::active::Active;
 use crate::transport::http::client;
 
-/// Why a version is not put in force.
+/// Why a version is not installed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// The table service gave no answer.
+    /// A call to the platform failed.
     #[error(transparent)]
     Platform(#[from] platform::Error),
-    /// The other host gave no answer.
+    /// The call to the other host failed.
     #[error(transparent)]
     Peer(#[from] client::Error),
-    /// A row is not what it should be.
+    /// A row, or what another host sent, is missing or invalid.
     #[error("row {key}: {cause}")]
     Row {
-        /// The row.
+        /// The key of the row, or the path at the other host.
         key: String,
         /// What is wrong.
         cause: String,
     },
-    /// The parts do not make a configuration.
+    /// The parts do not form a configuration.
     #[error(transparent)]
     Parts(#[from] manifest::Error),
-    /// The configuration does not check.
+    /// The configuration is invalid.
     #[error(transparent)]
     Fleet(#[from] fleet::Error),
     /// A policy program does not compile.
@@ -37,12 +37,12 @@
     Policy(#[from] policy::Error),
 }
 
-/// Checks a version off the worker threads: a large one takes longer than tokens may be held back.
+/// Checks a version on a blocking thread: a large one takes longer than tokens may be delayed on a worker thread.
 pub(super) async fn activate(bundle: Bundle) -> Result<Active, Error> {
     smol::unblock(move || derive(bundle)).await
 }
 
-/// Checks a version and derives what the request path needs.
+/// Checks a version and derives what the request path needs from it.
 fn derive(bundle: Bundle) -> Result<Active, Error> {
     let fleet = bundle.manifest.join(&bundle.texts)?;
     fleet.check()?;
@@ -57,8 +57,8 @@
     })
 }
 
-/// The same for a version that another place than the table service keeps.
-pub(super) async fn activate_outside(version: u64, fleet: Fleet) -> Result<Active, Error> {
+/// The same for a version that is not kept in the table service.
+pub(super) async fn activate_external(version: u64, fleet: Fleet) -> Result<Active, Error> {
     let active = smol::unblock(move || {
         fleet.check()?;
         Ok::<_, Error>(Active::outside(version, fleet)?)
--- a/cypressvane/src/transport/platform/mod.rs
+++ b/cypressvane/src/transport/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP with JSON. Another platform's protocol changes this file only.
+//! The platform's services over HTTP with JSON. A platform with another protocol would change only this file.
 
 mod fetch;
 pub(crate) mod follow;
@@ -16,9 +16,9 @@
 use crate::state::platform::{Error, Expect, Listing, Pending, Roster, Row, Table, Write};
 use crate::transport::http::client;
 
-/// Longest time that a call to the platform may take.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// Largest answer of the platform, in bytes.
+/// Timeout of a call to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest response of the platform, in bytes.
 const ANSWER_BYTES_MAX: u64 = 64 << 20;
 
 /// The table service at an address.
@@ -29,11 +29,11 @@
 #[derive(Debug)]
 pub(crate) struct HttpRoster(pub(crate) SocketAddr);
 
-/// A conditional write as it is sent.
+/// The body of a conditional write.
 #[derive(Serialize)]
 struct Put<'a> {
     value: &'a str,
-    /// Absent when the row must not exist.
+    /// Revision that the row must have; `None` if the row must not exist.
     revision: Option<u64>,
 }
 
@@ -51,14 +51,14 @@
 }
 
 async fn send(address: SocketAddr, request: Request) -> Result<client::Reply, Error> {
-    let reply = client::call(address, request, ANSWER_BYTES_MAX, CALL_TIME).await;
+    let reply = client::call(address, request, ANSWER_BYTES_MAX, CALL_TIMEOUT).await;
     reply.map_err(|error| match error {
         client::Error::Unreachable { .. } => Error::Unreachable(error.to_string()),
         _ => Error::Lost(error.to_string()),
     })
 }
 
-/// A status that a platform in trouble answers with; the call may have taken effect.
+/// The error for an unexpected status. After a server error, the call may have taken effect.
 fn unexpected(status: u16) -> Error {
     if status >= 500 {
         return Error::Lost(format!("status {status}"));
--- a/cypressvane/src/transport/platform/roster.rs
+++ b/cypressvane/src/transport/platform/roster.rs
@@ -17,46 +17,50 @@
 use crate::transport::rollout::pool_of;
 use crate::transport::runtime::within;
 
-/// Longest time that one look at the list waits for a change, so that entries are looked after.
-const LOOK: Duration = Duration::from_secs(5);
-/// Rest after a read of the host list that failed.
-const READ_AGAIN: Duration = Duration::from_millis(100);
-/// Time after which a host that entered itself, and does not stand in the list, does so again: longer than
-/// the list takes to show it on a site that starts.
-const ENTER_AGAIN: Duration = Duration::from_secs(4);
-/// Silence after which a host is struck out of the list: longer than it is frozen or restarts.
-const STRIKE_AFTER: Duration = Duration::from_secs(15);
-/// Hosts that tell the others, so that two may fail at once: with eight of them a quarter of what hosts
-/// sent each other between data centres was this.
-const TELLERS: usize = 3;
-/// How long the sender of a change tells that the platform was away: longer than lapsed entries are
-/// kept after its return.
-const BACK_TOLD_FOR: Duration = Duration::from_secs(10);
-/// Time after its start in which a host expects its links to come up: 294 of them took 4 s on hosts of 0.12
-/// of a core that all started together.
-const START: Duration = Duration::from_secs(8);
-/// What stands for the list itself where one host is to look after it.
-const LIST: &str = "hosts";
-/// Slots of a server whose service is not configured yet.
-const SLOTS_UNKNOWN: u32 = 1;
+/// Longest time that one read of the list waits for a change, so that entries are maintained in between.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Shortest backoff after a failed read of the host list.
+const READ_BACKOFF: Duration = Duration::from_millis(100);
+/// Time after which a host that has added itself, but is missing from the list, adds itself again: longer than the list
+/// takes to show the entry on a site that starts.
+const REENTER_AFTER: Duration = Duration::from_secs(4);
+/// Silence after which a host is removed from the list: longer than hosts are frozen or take to restart.
+const REMOVE_AFTER: Duration = Duration::from_secs(15);
+/// Number of hosts that announce changes to the others, so that two may fail at once. With eight of them, these
+/// messages were a quarter of the traffic between hosts of different data centres.
+const ANNOUNCERS: usize = 3;
+/// How long announcements of changes mention that the platform has become available again: longer than lapsed entries
+/// are kept after that.
+const RETURN_ANNOUNCED_FOR: Duration = Duration::from_secs(10);
+/// Time after its start in which a host expects its links to connect: 294 of them took 4 s on hosts with 0.12 of a core
+/// that all started together.
+const STARTUP: Duration = Duration::from_secs(8);
+/// The subject by which hosts are ranked for tasks on the list that a few do for all.
+const LIST_SUBJECT: &str = "hosts";
+/// Slots of a server that names none, if its service is not configured yet.
+const SLOTS_DEFAULT: u32 = 1;
 
-/// Reads the host list for as long as the host runs; `installs` wake it early.
+/// Follows the host list for as long as the host runs; `installs` wake the task early.
 pub(crate) async fn run(node: Arc<Node>, installs: Receiver<()>) {
     let mut listed: Vec<Entry> = Vec::new();
     let mut last: Vec<Entry> = Vec::new();
     let mut last_tag = None;
     let mut last_version = 0;
     let mut lapse = Lapse::default();
-    let mut away = false;
-    let mut entered = None;
+    let mut is_unavailable = false;
+    let mut entered_at = None;
     let mut last_returns = None;
     loop {
-        let mut rest = node.roster.rest();
+        let mut pause = node.roster.rest();
         let region = node.config.host.region.clone();
-        let look = lapse.ends().map_or(LOOK, |end| {
-            LOOK.min(end.saturating_duration_since(Instant::now()))
+        let read_timeout = lapse.ends().map_or(READ_TIMEOUT, |end| {
+            READ_TIMEOUT.min(end.saturating_duration_since(Instant::now()))
         });
-        let listing = within(look, node.roster.list(Some(&region), last_tag.as_deref())).await;
+        let listing = within(
+            read_timeout,
+            node.roster.list(Some(&region), last_tag.as_deref()),
+        )
+        .await;
         match listing {
             Some(Ok(Listing::Entries {
                 tag,
@@ -64,7 +68,7 @@
                 told,
                 faults,
             })) => {
-                note_changes(&node, &listed, &entries, tag.as_deref(), told);
+                log_changes(&node, &listed, &entries, tag.as_deref(), told);
                 last_tag = tag;
                 listed = entries;
                 for fault in faults {
@@ -72,25 +76,25 @@
                 }
             }
             None | Some(Ok(Listing::Same)) => {}
-            // What was read last stays: a list that cannot be read takes nobody out.
+            // The last list remains in use: a failed read removes no entries.
             Some(Err(error)) => {
                 node.note_platform_failure("hosts");
-                if !away {
+                if !is_unavailable {
                     slog::warn!(node.log, "the host list gave no answer"; "cause" => %error);
                 }
-                away = true;
-                rest = rest.max(READ_AGAIN);
-                let _ = within(rest, installs.recv()).await;
+                is_unavailable = true;
+                pause = pause.max(READ_BACKOFF);
+                let _ = within(pause, installs.recv()).await;
                 continue;
             }
         }
-        if listing_is_back(&node, &mut away, last_tag.is_some()) {
+        if has_recovered(&node, &mut is_unavailable, last_tag.is_some()) {
             node.note_platform_back(Instant::now());
         }
         let returns = Some(node.roster.returns());
         if returns != last_returns {
             // The platform may have lost the entry of this host.
-            entered = None;
+            entered_at = None;
             last_returns = returns;
             node.note_returns(node.roster.returns());
         }
@@ -98,37 +102,37 @@
         let is_read = last_tag.is_some() || !entries.is_empty();
         let changed = is_read && (entries != last || !node.links.has_roster());
         last = entries;
-        // A new configuration may give a service other slots.
+        // A new configuration may change the slots of a service.
         let version = node.version();
         if changed || (version != last_version && node.links.has_roster()) {
-            follow(&node, &last);
+            apply(&node, &last);
             last_version = version;
         }
         if node.roster.takes_entries() && is_read {
-            keep_entries(&node, &last, &mut entered).await;
+            maintain_entries(&node, &last, &mut entered_at).await;
         }
-        // Whether an installed configuration or the time ends the wait makes no difference.
-        let _ = within(rest, installs.recv()).await;
+        // It makes no difference whether an installed configuration or the timeout ends the wait.
+        let _ = within(pause, installs.recv()).await;
     }
 }
 
-/// Writes down which backend servers stand otherwise in the list, and who told so.
-fn note_changes(node: &Node, before: &[Entry], after: &[Entry], tag: Option<&str>, told: bool) {
-    // The first read is no change.
+/// Logs which backend servers have changed in the list, and whether another host reported it.
+fn log_changes(node: &Node, before: &[Entry], after: &[Entry], tag: Option<&str>, told: bool) {
+    // The first read is not a change.
     if before.is_empty() {
         return;
     }
-    let words = |entries: &[Entry]| -> HashMap<Name, &'static str> {
+    let states = |entries: &[Entry]| -> HashMap<Name, &'static str> {
         let servers = entries.iter().filter(|entry| entry.kind == Kind::Backend);
         servers
             .map(|entry| (entry.name.clone(), entry.presence.word()))
             .collect()
     };
-    let (before, after) = (words(before), words(after));
+    let (before, after) = (states(before), states(after));
     let names: BTreeSet<&Name> = before.keys().chain(after.keys()).collect();
     for name in names {
-        let word = |words: &HashMap<Name, &'static str>| words.get(name).copied();
-        let (before, after) = (word(&before), word(&after));
+        let state = |states: &HashMap<Name, &'static str>| states.get(name).copied();
+        let (before, after) = (state(&before), state(&after));
         if before != after {
             slog::info!(
                 node.log, "a backend server stands otherwise in the host list";
@@ -139,79 +143,80 @@
     }
 }
 
-/// Whether the list answers again after it gave no answer.
-fn listing_is_back(node: &Node, away: &mut bool, answered: bool) -> bool {
-    let is_back = *away && answered;
+/// Whether the list answers again after a failure; logs it and clears `is_unavailable` then.
+fn has_recovered(node: &Node, is_unavailable: &mut bool, answered: bool) -> bool {
+    let is_back = *is_unavailable && answered;
     if is_back {
         slog::info!(node.log, "the host list answers again");
-        *away = false;
+        *is_unavailable = false;
     }
     is_back
 }
 
-/// Enters this host where it does not stand in the list, and strikes out hosts that are gone.
+/// Adds this host to the list if its entry is missing, and removes hosts that are gone.
 ///
-/// `entered` is when it entered itself last: the list shows that with a lag, and changes meanwhile.
-async fn keep_entries(node: &Node, entries: &[Entry], entered: &mut Option<Instant>) {
-    let is_new = entered.is_none_or(|at| at.elapsed() >= ENTER_AGAIN);
-    if let Some(mine) = node.entry()
+/// `entered_at` is when this host last added itself: the list shows the entry with a delay, and may change meanwhile.
+async fn maintain_entries(node: &Node, entries: &[Entry], entered_at: &mut Option<Instant>) {
+    let is_new = entered_at.is_none_or(|at| at.elapsed() >= REENTER_AFTER);
+    if let Some(own_entry) = node.entry()
         && !node.draining()
-        && !entries.contains(&mine)
+        && !entries.contains(&own_entry)
         && is_new
     {
-        let result = node.roster.enter(&mine).await;
-        *entered = result.is_ok().then(Instant::now);
-        note(node, "entering this host", result);
+        let result = node.roster.enter(&own_entry).await;
+        *entered_at = result.is_ok().then(Instant::now);
+        log_failure(node, "adding this host", result);
     }
-    let looks_after = node.links.home_of(LIST) == node.config.host.name;
-    if !looks_after || node.started.elapsed() < STRIKE_AFTER {
+    let is_maintainer = node.links.home_of(LIST_SUBJECT) == node.config.host.name;
+    if !is_maintainer || node.started.elapsed() < REMOVE_AFTER {
         return;
     }
-    for host in node.links.silent_for(STRIKE_AFTER, Instant::now()) {
+    for host in node.links.silent_for(REMOVE_AFTER, Instant::now()) {
         slog::info!(node.log, "a silent host is struck out of the list"; "host" => &*host);
-        note(node, "striking a host out", node.roster.strike(&host).await);
+        log_failure(node, "removing a host", node.roster.strike(&host).await);
     }
 }
 
-/// How closely this host follows the list itself; those that do not hear of changes from those that do.
+/// How closely this host follows the list itself. Hosts that do not follow it closely learn of changes from those that
+/// do.
 ///
-/// A host that starts takes itself for one of few before its links are up. For some seconds it goes by the
-/// hosts that the list names, and is patient if it would not be one of those that follow it for all.
+/// Before its links are connected, a starting host counts only few hosts and ranks itself among the followers. For some
+/// seconds it also ranks itself among all hosts in the list, and is patient if it would not be a follower there.
 pub(crate) fn attention(node: &Node) -> Attention {
     let followers = node.config.platform.list_followers;
     if followers == 0 || !node.links.has_roster() {
         return Attention::Close;
     }
-    if node.links.place_for(LIST) >= followers {
+    if node.links.place_for(LIST_SUBJECT) >= followers {
         return Attention::Seldom;
     }
-    let starts = node.started.elapsed() < START;
-    if starts && node.links.place_among_known(LIST) >= followers {
+    let is_starting = node.started.elapsed() < STARTUP;
+    if is_starting && node.links.place_among_known(LIST_SUBJECT) >= followers {
         return Attention::Patient;
     }
     Attention::Close
 }
 
-/// Whether this host tells the others what it sees of the list: a few of those that follow it do, for
-/// those that do not.
-fn tells_others(node: &Node) -> bool {
+/// Whether this host announces changes of the list to the others: a few of its followers do, for those that do not
+/// follow it.
+fn is_announcer(node: &Node) -> bool {
     let followers = node.config.platform.list_followers;
-    let (well, known) = (node.links.hosts(), node.links.known());
+    let (eligible, known) = (node.links.hosts(), node.links.known());
     let all_follow = followers == 0 || known as usize <= followers;
-    // A host that starts takes itself for one of few before its links are up.
-    let knows_most = 2 * well > known;
-    !all_follow && knows_most && node.links.place_for(LIST) < followers.min(TELLERS)
+    // Before its links are connected, a starting host counts only few hosts.
+    let knows_most = 2 * eligible > known;
+    !all_follow && knows_most && node.links.place_for(LIST_SUBJECT) < followers.min(ANNOUNCERS)
 }
 
-/// Passes on what this host sees of the list, for as long as it runs.
+/// Announces the changes of the list that this host sees, for as long as it runs.
 pub(crate) async fn pass_on(node: Arc<Node>) {
     loop {
         let news = node.roster.news().await;
-        if !tells_others(&node) {
+        if !is_announcer(&node) {
             continue;
         }
         let back = node.platform_back().map(|back| back.elapsed());
-        let back = back.filter(|ago| *ago < BACK_TOLD_FOR);
+        let back = back.filter(|ago| *ago < RETURN_ANNOUNCED_FOR);
         node.links.broadcast(&Message::Listed {
             news,
             back_ms: back.map(millis),
@@ -219,14 +224,14 @@
     }
 }
 
-fn note(node: &Node, what: &str, result: Result<(), platform::Error>) {
+fn log_failure(node: &Node, what: &str, result: Result<(), platform::Error>) {
     if let Err(error) = result {
         node.note_platform_failure("hosts");
-        slog::warn!(node.log, "the host list took no change"; "what" => what, "cause" => %error);
+        slog::warn!(node.log, "the host list could not be changed"; "what" => what, "cause" => %error);
     }
 }
 
-/// Tells the pools when another version of a service gets requests, or other servers of one that is tried.
+/// Updates the pools when requests go to another version of a service, or to other servers of a version on trial.
 pub(crate) fn follow_rollouts(node: &Node) {
     if node.rollouts.take_moved() && node.links.has_roster() {
         let entries = node.listed.load_full();
@@ -238,34 +243,34 @@
 }
 
 /// Whether an entry is a backend server of this region.
-fn is_server_here(node: &Node, entry: &Entry) -> bool {
+fn is_local_server(node: &Node, entry: &Entry) -> bool {
     entry.kind == Kind::Backend && entry.region == node.config.host.region
 }
 
-fn follow(node: &Node, entries: &[Entry]) {
+fn apply(node: &Node, entries: &[Entry]) {
     node.listed.store(Arc::new(entries.to_vec()));
     let now = Instant::now();
     for gone in node.links.follow(entries) {
         node.desk.forget(&gone, u64::MAX, now);
     }
-    let servers = entries.iter().filter(|entry| is_server_here(node, entry));
+    let servers = entries.iter().filter(|entry| is_local_server(node, entry));
     node.rollouts.note_listed(servers);
     node.desk.set_specs(specs(node, entries), now);
     node.quarantine.note_listed();
     node.note_begun();
 }
 
-/// The backend servers of this region by pool: those of each version of a service. A server that is to get no requests,
-/// by its version, counts as leaving.
+/// The backend servers of this region by pool; each version of a service has a pool of its own. A server whose version
+/// is to get no requests counts as leaving.
 fn specs(node: &Node, entries: &[Entry]) -> HashMap<Name, Vec<Spec>> {
     let active = node.active();
     let slots = |service: &Name| {
         let service = active
             .as_ref()
             .and_then(|active| active.index.service(service));
-        service.map_or(SLOTS_UNKNOWN, |service| service.slots)
+        service.map_or(SLOTS_DEFAULT, |service| service.slots)
     };
-    let servers = entries.iter().filter(|entry| is_server_here(node, entry));
+    let servers = entries.iter().filter(|entry| is_local_server(node, entry));
     let mut by_service: BTreeMap<&Name, Vec<&Entry>> = BTreeMap::new();
     for entry in servers {
         if let Some(service) = &entry.service {
