--- a/cypressvane/src/transport/desk/holder.rs
+++ b/cypressvane/src/transport/desk/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side: the requests that this host received and offers to their homes.
+//! The holder's side: the requests that this host has received and offers to their homes.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,10 +19,10 @@
         lock(&self.held).len()
     }
 
-    /// Offers a request to its home.
+    /// Holds a request and offers it to its home.
     pub(crate) fn hold(self: &Arc<Self>, wish: &Wish) -> Place {
-        let (sender, words) = async_channel::bounded(1);
-        let sequence = self.next.fetch_add(1, Ordering::Relaxed);
+        let (sender, decisions) = async_channel::bounded(1);
+        let sequence = self.next_sequence.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
         let shard = self.shard_for(wish, now);
         let held = Held {
@@ -32,22 +32,25 @@
             moved: false,
             without_server: 0,
             stage: Stage::Waiting(Wait::begin(now)),
-            words: sender,
+            decisions: sender,
         };
         let offer = held.offer(sequence, now);
         let home = held.home.clone();
         lock(&self.held).insert(sequence, held);
-        self.say(&home, offer, now);
+        self.send(&home, offer, now);
         Place {
             desk: Arc::clone(self),
             sequence,
-            words,
+            decisions,
             longest_pause: None,
             ended: false,
         }
     }
 
-    /// The shard that a request is offered to; one that comes back gets the same.
+    /// Picks the shard that a request is offered to.
+    ///
+    /// A marked request goes to the shard that its mark stands for, so that a repeat of the caller reaches the same
+    /// home. All others, and those that a server has failed, go to a random shard. Shards in backoff are avoided.
     pub(super) fn shard_for(&self, wish: &Wish, now: Instant) -> Shard {
         let marked = wish.mark.filter(|_| !wish.returning);
         let point = marked.map_or_else(fastrand::f64, point_of);
@@ -62,13 +65,13 @@
         cut.pick(point, |shard| answering.rests(shard, now))
     }
 
-    /// The host that decides about a shard.
+    /// The home of a shard.
     pub(super) fn home_of(&self, shard: &Shard) -> Name {
         self.links.home_of(&shard.subject())
     }
 
-    /// Uses a grant, or returns it when the request no longer waits.
-    pub(super) fn hear_grant(
+    /// Passes a grant on to its request, or withdraws it if the request no longer waits.
+    pub(super) fn handle_grant(
         &self,
         home: &Name,
         shard: &Shard,
@@ -88,25 +91,25 @@
                     };
                     held.home = home.clone();
                     held.shard = shard.clone();
-                    // The place is there as long as it is held, and hears one word at a time.
-                    let _ = held.words.try_send(Word::Grant(grant));
+                    // The receiver exists for as long as the request is held, and takes one decision at a time.
+                    let _ = held.decisions.try_send(Word::Grant(grant));
                     return;
                 }
-                // The same grant said again.
+                // The home repeats a grant that has arrived already.
                 Stage::Granted { .. } if held.home == *home => return,
                 Stage::Granted { .. } => {}
             }
         }
         drop(held);
         let shard = shard.clone();
-        self.say(home, Message::Withdraw { shard, sequence }, now);
+        self.send(home, Message::Withdraw { shard, sequence }, now);
     }
 
-    /// Hears a refusal; one for want of a server counts only when each shard has none.
+    /// Handles a refusal; one for lack of a server is final only if every shard lacks servers.
     ///
-    /// A shard loses its last servers while others have theirs: where one is replaced that the host list still
-    /// has, half of the requests for a pool cut in two were refused until the list was told of it.
-    pub(super) fn hear_refusal(&self, sequence: u64, reason: Reason, now: Instant) {
+    /// A shard may lose its last servers while other shards still have some: when a server was replaced that the host
+    /// list still named, half of the requests for a pool of two shards were refused until the list was updated.
+    pub(super) fn handle_refusal(&self, sequence: u64, reason: Reason, now: Instant) {
         let (home, offer) = {
             let mut held = lock(&self.held);
             let Some(held) = held.get_mut(&sequence) else {
@@ -119,20 +122,20 @@
             held.without_server += u16::from(reason.code == Code::NoServer);
             let is_last = held.without_server >= held.shard.count;
             if reason.code != Code::NoServer || is_last {
-                // The place is there as long as it is held, and hears one word at a time.
-                let _ = held.words.try_send(Word::Refuse(reason));
+                // The receiver exists for as long as the request is held, and takes one decision at a time.
+                let _ = held.decisions.try_send(Word::Refuse(reason));
                 return;
             }
             let shard = held.shard.other(held.shard.number + 1);
             held.moved = true;
-            held.put(&shard, self.home_of(&shard), now);
+            held.reassign(&shard, self.home_of(&shard), now);
             (held.home.clone(), held.offer(sequence, now))
         };
-        self.say(&home, offer, now);
+        self.send(&home, offer, now);
     }
 
-    /// Hears that an offer waits.
-    pub(super) fn hear_queued(&self, from: &Name, sequence: u64, now: Instant) {
+    /// Notes that the home has queued an offer.
+    pub(super) fn handle_queued(&self, from: &Name, sequence: u64, now: Instant) {
         let mut held = lock(&self.held);
         let Some(held) = held.get_mut(&sequence).filter(|held| held.home == *from) else {
             return;
@@ -143,9 +146,9 @@
         }
     }
 
-    /// Hears that another shard has places for an offer.
-    pub(super) fn hear_move(&self, from: &Name, sequence: u64, to: u16, now: Instant) {
-        let said = {
+    /// Offers a request to the shard that its home names, since that one has idle places.
+    pub(super) fn handle_move(&self, from: &Name, sequence: u64, to: u16, now: Instant) {
+        let outgoing = {
             let mut held = lock(&self.held);
             let Some(held) = held.get_mut(&sequence).filter(|held| held.home == *from) else {
                 return;
@@ -156,43 +159,43 @@
             lock(&self.answering).note_word(&held.shard);
             let shard = held.shard.other(to);
             held.moved = true;
-            held.put(&shard, self.home_of(&shard), now);
+            held.reassign(&shard, self.home_of(&shard), now);
             (held.home.clone(), held.offer(sequence, now))
         };
-        self.say(&said.0, said.1, now);
+        self.send(&outgoing.0, outgoing.1, now);
     }
 
-    /// Sees to offers without an answer: they are said again, or made elsewhere.
+    /// Repeats unanswered offers, or makes them to another shard.
     pub(crate) fn offer_again(&self, now: Instant) {
-        let mut said = Vec::new();
-        let mut silent = Vec::new();
-        let mut doubted = Vec::new();
+        let mut outgoing = Vec::new();
+        let mut unanswered = Vec::new();
+        let mut doubted_homes = Vec::new();
         for (sequence, held) in lock(&self.held).iter_mut() {
             let Stage::Waiting(wait) = &mut held.stage else {
                 continue;
             };
             match wait.step(held.shard.has_others(), now) {
                 Step::Wait => {}
-                Step::Ask => said.push((held.home.clone(), held.offer(*sequence, now))),
-                Step::Leave => silent.push(*sequence),
+                Step::Ask => outgoing.push((held.home.clone(), held.offer(*sequence, now))),
+                Step::Leave => unanswered.push(*sequence),
                 Step::Doubt => {
-                    doubted.push(held.home.clone());
-                    said.push((held.home.clone(), held.offer(*sequence, now)));
+                    doubted_homes.push(held.home.clone());
+                    outgoing.push((held.home.clone(), held.offer(*sequence, now)));
                 }
             }
         }
-        for home in doubted {
+        for home in doubted_homes {
             self.doubt(&home, now);
         }
-        for (home, offer) in said {
-            self.say(&home, offer, now);
+        for (home, offer) in outgoing {
+            self.send(&home, offer, now);
         }
-        for sequence in silent {
-            self.leave_silent(sequence, now);
+        for sequence in unanswered {
+            self.offer_elsewhere(sequence, now);
         }
     }
 
-    /// Doubts the link to a home that gives no word on an offer.
+    /// Reconnects the link to a home that leaves an offer unanswered.
     fn doubt(&self, home: &Name, now: Instant) {
         if self.links.doubt(home, now) {
             slog::info!(
@@ -202,8 +205,8 @@
         }
     }
 
-    /// Offers a request to another shard whose home gives no word on it.
-    fn leave_silent(&self, sequence: u64, now: Instant) {
+    /// Withdraws an offer that its home leaves unanswered, and makes it to another shard.
+    fn offer_elsewhere(&self, sequence: u64, now: Instant) {
         let (old, withdraw, home, offer) = {
             let mut held = lock(&self.held);
             let Some(held) = held.get_mut(&sequence) else {
@@ -221,22 +224,22 @@
                 shard: held.shard.clone(),
                 sequence,
             };
-            let old = held.put(&shard, self.home_of(&shard), now);
+            let old = held.reassign(&shard, self.home_of(&shard), now);
             (old, withdraw, held.home.clone(), held.offer(sequence, now))
         };
-        self.say(&old, withdraw, now);
-        self.say(&home, offer, now);
+        self.send(&old, withdraw, now);
+        self.send(&home, offer, now);
     }
 
-    /// Moves what is held to new homes after the hosts that are well, or the shards, have changed.
+    /// Moves the held requests to their new homes after the hosts that may be homes, or the shards, have changed.
     pub(crate) fn rehome(&self, now: Instant) {
         let listed = self.listed.load();
-        let mut said = Vec::new();
+        let mut outgoing = Vec::new();
         for (sequence, held) in lock(&self.held).iter_mut() {
             let cut = listed.cuts.get(&held.wish.pool);
             let shard = match cut.filter(|cut| cut.count() != held.shard.count) {
                 None => held.shard.clone(),
-                Some(cut) => self.shard_again(cut, held, now),
+                Some(cut) => self.reassigned_shard(cut, held, now),
             };
             let home = self.home_of(&shard);
             if home == held.home && shard == held.shard {
@@ -246,25 +249,26 @@
                 shard: held.shard.clone(),
                 sequence: *sequence,
             };
-            let old = held.put(&shard, home, now);
-            said.push((old, withdraw));
-            said.push((held.home.clone(), held.claim(*sequence, now)));
+            let old = held.reassign(&shard, home, now);
+            outgoing.push((old, withdraw));
+            outgoing.push((held.home.clone(), held.handover(*sequence, now)));
         }
-        for (home, message) in said {
-            self.say(&home, message, now);
+        for (home, message) in outgoing {
+            self.send(&home, message, now);
         }
-        self.keep_own(&listed);
-        self.tell_limits(|_| false, now);
+        self.create_home_pools(&listed);
+        self.repeat_limits(|_| false, now);
     }
 
-    /// Offers the requests that wait in a pool which gets none any more to the one that does; `successor` tells it of
-    /// a service and a pool.
+    /// Moves the requests that wait in a pool that no longer gets any to the pool that replaces it.
+    ///
+    /// `successor` returns the replacement for a service and a pool, if there is one.
     pub(crate) fn move_waiting(
         &self,
         successor: impl Fn(&Name, &Name) -> Option<Name>,
         now: Instant,
     ) {
-        let mut said = Vec::new();
+        let mut outgoing = Vec::new();
         for (sequence, held) in lock(&self.held).iter_mut() {
             if !matches!(held.stage, Stage::Waiting(_)) {
                 continue;
@@ -279,17 +283,17 @@
                 sequence: *sequence,
             };
             held.without_server = 0;
-            let old = held.put(&shard, self.home_of(&shard), now);
-            said.push((old, withdraw));
-            said.push((held.home.clone(), held.offer(*sequence, now)));
+            let old = held.reassign(&shard, self.home_of(&shard), now);
+            outgoing.push((old, withdraw));
+            outgoing.push((held.home.clone(), held.offer(*sequence, now)));
         }
-        for (home, message) in said {
-            self.say(&home, message, now);
+        for (home, message) in outgoing {
+            self.send(&home, message, now);
         }
     }
 
-    /// The shard of a request in a service that is cut otherwise from now on.
-    fn shard_again(&self, cut: &Cut, held: &Held, now: Instant) -> Shard {
+    /// The new shard of a request after the number of shards of its pool has changed.
+    fn reassigned_shard(&self, cut: &Cut, held: &Held, now: Instant) -> Shard {
         match &held.stage {
             Stage::Granted { server, .. } => cut.shard_of(server),
             Stage::Waiting(_) => self.shard_for(&held.wish, now),
@@ -298,7 +302,7 @@
 }
 
 impl Held {
-    /// What is said of it to its home, as a request that waits.
+    /// The offer of this request to its home.
     pub(super) fn offer(&self, sequence: u64, now: Instant) -> Message {
         let wish = &self.wish;
         let made = match self.stage {
@@ -327,8 +331,8 @@
         })
     }
 
-    /// What is said of it to a new home.
-    fn claim(&self, sequence: u64, now: Instant) -> Message {
+    /// The message that hands this request over to a new home.
+    fn handover(&self, sequence: u64, now: Instant) -> Message {
         match &self.stage {
             Stage::Waiting(_) => self.offer(sequence, now),
             Stage::Granted {
@@ -343,8 +347,8 @@
         }
     }
 
-    /// Puts it into a shard with that home, and gives the home that it had.
-    pub(super) fn put(&mut self, shard: &Shard, home: Name, now: Instant) -> Name {
+    /// Assigns this request to a shard and its home; returns the previous home.
+    pub(super) fn reassign(&mut self, shard: &Shard, home: Name, now: Instant) -> Name {
         self.shard = shard.clone();
         if let Stage::Waiting(wait) = &mut self.stage {
             *wait = Wait::begin(now);
@@ -353,9 +357,9 @@
     }
 }
 
-/// The point from 0 to 1 that a mark stands for.
+/// The point in `[0, 1)` that a mark stands for.
 fn point_of(mark: u64) -> f64 {
-    /// Bits of a mark that a point shows.
+    /// Number of high bits of a mark that determine the point.
     const BITS: u32 = 32;
     let high = u32::try_from(mark >> BITS).unwrap_or(u32::MAX);
     f64::from(high) / (f64::from(u32::MAX) + 1.0)
--- a/cypressvane/src/transport/desk/homes.rs
+++ b/cypressvane/src/transport/desk/homes.rs
@@ -1,4 +1,4 @@
-//! The home's side: the pools whose queue this host keeps.
+//! The home's side: the pools whose queues this host keeps.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex};
@@ -17,32 +17,32 @@
 use crate::state::units::millis;
 use crate::transport::runtime::lock;
 
-/// How long a server that is gone is remembered: longer than hosts' lists differ.
-const DEPARTED_FOR: Duration = Duration::from_secs(60);
+/// How long a server that has left the host list is remembered: longer than the lists of two hosts differ.
+const DEPARTED_TTL: Duration = Duration::from_secs(60);
 
-/// Time between two lines in the log about what a home decides.
-const WORK_LOGGED: Duration = Duration::from_secs(5);
-/// Lag from which there is a line each time that this is looked at: a part of an objective that counts.
-const LAG_LOGGED: Duration = Duration::from_millis(100);
+/// Interval between two log lines about the decisions of a home.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Lag from which every check logs a line: a significant part of a latency objective.
+const LOGGED_LAG_MIN: Duration = Duration::from_millis(100);
 
 /// A pool whose home this host is or was.
 #[derive(Debug)]
-pub(super) struct Kept {
+pub(super) struct LocalPool {
     pub(super) pool: Pool,
     pub(super) tally: Tally,
-    /// When there was a line in the log about it.
-    logged: Instant,
+    /// When the pool's decisions were last logged.
+    logged_at: Instant,
 }
 
 impl Desk {
-    /// Lets a pool decide, and tells the holders.
-    pub(super) fn act(&self, shard: &Shard, decide: impl FnOnce(&mut Pool) -> Vec<Action>) {
-        let kept = self.pool(shard);
+    /// Updates a pool, logs the changes of its servers, and sends its decisions to the holders.
+    pub(super) fn update_pool(&self, shard: &Shard, decide: impl FnOnce(&mut Pool) -> Vec<Action>) {
+        let local = self.pool(shard);
         let (actions, changes, limit_changes) = {
-            let mut kept = lock(&kept);
-            let actions = decide(&mut kept.pool);
-            kept.tally.count(&actions);
-            let pool = &mut kept.pool;
+            let mut local = lock(&local);
+            let actions = decide(&mut local.pool);
+            local.tally.count(&actions);
+            let pool = &mut local.pool;
             (actions, pool.take_changes(), pool.take_limit_changes())
         };
         for change in limit_changes {
@@ -62,48 +62,48 @@
         }
         let now = Instant::now();
         for action in actions {
-            self.tell(shard, action, now);
+            self.deliver(shard, action, now);
         }
     }
 
-    /// Lets a pool decide about an offer, or tells its holder of another shard that has places.
-    pub(super) fn act_on(&self, shard: &Shard, offer: Offer, made: Made, now: Instant) {
+    /// Passes an offer to its pool, or directs the holder to another shard that has idle places.
+    pub(super) fn handle_offer(&self, shard: &Shard, offer: Offer, made: Made, now: Instant) {
         lock(&self.pool(shard)).tally.offers += 1;
         let ticket = offer.ticket.clone();
         let sequence = ticket.sequence;
         if made == Made::First
-            && let Some(to) = self.elsewhere(shard, &ticket, now)
+            && let Some(to) = self.redirect_target(shard, &ticket, now)
         {
             let to = to.number;
-            self.say(&ticket.holder, Message::Move { sequence, to }, now);
+            self.send(&ticket.holder, Message::Move { sequence, to }, now);
             return;
         }
-        self.act(shard, |pool| pool.offer(offer, now));
+        self.update_pool(shard, |pool| pool.offer(offer, now));
         if made == Made::Again && lock(&self.pool(shard)).pool.is_waiting(&ticket) {
-            self.say(&ticket.holder, Message::Queued { sequence }, now);
+            self.send(&ticket.holder, Message::Queued { sequence }, now);
         }
     }
 
-    pub(super) fn pool(&self, shard: &Shard) -> Arc<Mutex<Kept>> {
+    pub(super) fn pool(&self, shard: &Shard) -> Arc<Mutex<LocalPool>> {
         let mut pools = lock(&self.pools);
         let pool = pools.entry(shard.clone()).or_insert_with(|| {
             let service = shard.service.clone();
             let mut pool = Pool::believing(service, self.waiting_max, self.belief);
-            let specs = self.listed.load().of_shard(shard);
+            let specs = self.listed.load().servers_of(shard);
             // A new pool has no queue, so there is nothing to grant.
             let now = Instant::now();
             pool.set_servers(&specs, now);
             pool.share(self.links.share(now).part(), now);
-            Arc::new(Mutex::new(Kept {
+            Arc::new(Mutex::new(LocalPool {
                 pool,
                 tally: Tally::default(),
-                logged: Instant::now(),
+                logged_at: Instant::now(),
             }))
         });
         Arc::clone(pool)
     }
 
-    pub(super) fn tell(&self, shard: &Shard, action: Action, now: Instant) {
+    pub(super) fn deliver(&self, shard: &Shard, action: Action, now: Instant) {
         match action {
             Action::Grant {
                 ticket,
@@ -118,10 +118,10 @@
                     first_token,
                     limited,
                 };
-                self.hear_grant(&self.me, shard, ticket.sequence, grant, now);
+                self.handle_grant(&self.me, shard, ticket.sequence, grant, now);
             }
             Action::Refuse { ticket, reason } if ticket.holder == self.me => {
-                self.hear_refusal(ticket.sequence, reason, now);
+                self.handle_refusal(ticket.sequence, reason, now);
             }
             Action::Grant {
                 ticket,
@@ -147,41 +147,41 @@
         }
     }
 
-    /// Follows the host list: the servers of each service.
+    /// Sets the servers of each pool, as the host list names them.
     pub(crate) fn set_specs(&self, specs: HashMap<Name, Vec<Spec>>, now: Instant) {
         let listed = Arc::new(Listed::of(specs));
         let before = self.listed.swap(Arc::clone(&listed));
         self.note_departed(&before.specs, &listed.specs, now);
         for shard in self.shards() {
-            let specs = listed.of_shard(&shard);
-            self.act(&shard, |pool| pool.set_servers(&specs, now));
+            let specs = listed.servers_of(&shard);
+            self.update_pool(&shard, |pool| pool.set_servers(&specs, now));
         }
-        if !before.is_cut_like(&listed) {
+        if !before.has_same_shard_counts(&listed) {
             self.rehome(now);
         }
-        self.keep_own(&listed);
-        self.drop_unused(&listed);
+        self.create_home_pools(&listed);
+        self.drop_obsolete(&listed);
     }
 
-    /// Begins to keep the pools whose home this host is, so that it can tell of them before any offer.
-    pub(super) fn keep_own(&self, listed: &Listed) {
+    /// Creates the pools whose home this host is, so that it reports their idle places before the first offer.
+    pub(super) fn create_home_pools(&self, listed: &Listed) {
         let shards = listed.cuts.values().flat_map(Cut::shards);
         for shard in shards.filter(|shard| self.home_of(shard) == self.me) {
             self.pool(&shard);
         }
     }
 
-    /// Drops pools of a cut that is no longer in use, when nothing of them is left.
-    fn drop_unused(&self, listed: &Listed) {
-        lock(&self.pools).retain(|shard, kept| {
+    /// Drops empty pools of shards that no longer exist because the number of shards has changed.
+    fn drop_obsolete(&self, listed: &Listed) {
+        lock(&self.pools).retain(|shard, local| {
             let cut = listed.cuts.get(&shard.service);
             let is_current = cut.is_none_or(|cut| cut.count() == shard.count);
-            let kept = &lock(kept).pool;
-            is_current || kept.waiting() > 0 || kept.running() > 0
+            let local = &lock(local).pool;
+            is_current || local.waiting() > 0 || local.running() > 0
         });
     }
 
-    /// Keeps the names of servers that are no longer in the list.
+    /// Remembers the names of servers that have left the list.
     fn note_departed(&self, before: &Specs, specs: &Specs, now: Instant) {
         let names = |specs: &Specs| -> HashSet<Name> {
             let all = specs.values().flatten();
@@ -195,12 +195,12 @@
             }
         }
         departed.retain(|name, missed| {
-            !there.contains(name) && now.saturating_duration_since(*missed) < DEPARTED_FOR
+            !there.contains(name) && now.saturating_duration_since(*missed) < DEPARTED_TTL
         });
     }
 
-    /// Whether this host's own list says that a server leaves or is gone. The home that granted it
-    /// may have an older one.
+    /// Whether this host's own list marks a server as leaving or no longer has it. The home that granted the server may
+    /// have an older list.
     pub(crate) fn is_leaving(&self, pool: &Name, server: &Name) -> bool {
         let listed = self.listed.load();
         let spec = listed
@@ -213,10 +213,10 @@
         }
     }
 
-    /// Forgets all that earlier incarnations of a host asked for; `u64::MAX` means the host is gone.
+    /// Forgets the requests of a host's incarnations before `before`; `u64::MAX` means that the host is gone.
     pub(crate) fn forget(&self, holder: &Name, before: u64, now: Instant) {
         for shard in self.shards() {
-            self.act(&shard, |pool| pool.forget(holder, before, now));
+            self.update_pool(&shard, |pool| pool.forget(holder, before, now));
         }
     }
 
@@ -225,20 +225,20 @@
         lock(&self.pools).keys().cloned().collect()
     }
 
-    /// Refuses what is too late, and grants to servers that came back.
+    /// Refuses requests that are too late, and grants to servers that take work again.
     pub(crate) fn tick(&self, now: Instant) {
         lock(&self.lag).turn(now);
         for shard in self.shards() {
-            self.act(&shard, |pool| pool.tick(now));
+            self.update_pool(&shard, |pool| pool.tick(now));
         }
     }
 
-    /// What this host knows of a pool's queue; zeros where another host is its home.
+    /// The queue of a pool, as far as this host keeps it; zeros if other hosts are the homes of all its shards.
     pub(crate) fn queue(&self, name: &Name) -> Queue {
         let mut queue = Queue::default();
-        for (shard, kept) in self.kept() {
+        for (shard, local) in self.local_pools() {
             if shard.service == *name {
-                let pool = &lock(&kept).pool;
+                let pool = &lock(&local).pool;
                 queue.waiting += pool.waiting() as u64;
                 queue.waiting_tokens += pool.waiting_tokens();
                 queue.running += pool.running() as u64;
@@ -248,52 +248,52 @@
         queue
     }
 
-    /// How far this host is behind with its work.
+    /// Recent scheduling delay of this host.
     pub(crate) fn lag(&self, now: Instant) -> Duration {
         lock(&self.lag).recent(now)
     }
 
-    /// Logs what the pools decided of late whose home this host is; those of a host that is behind with
-    /// its work more often.
+    /// Logs the recent decisions of the pools kept here, more often while this host lags.
     pub(crate) fn log_work(&self, now: Instant) {
         let lag = self.lag(now);
-        for (shard, kept) in self.kept() {
-            let mut kept = lock(&kept);
-            let pause = now.saturating_duration_since(kept.logged);
-            let is_due = pause >= WORK_LOGGED || lag >= LAG_LOGGED;
-            if kept.tally.offers == 0 || !is_due {
+        for (shard, local) in self.local_pools() {
+            let mut local = lock(&local);
+            let pause = now.saturating_duration_since(local.logged_at);
+            let is_due = pause >= LOG_INTERVAL || lag >= LOGGED_LAG_MIN;
+            if local.tally.offers == 0 || !is_due {
                 continue;
             }
-            let tally = std::mem::take(&mut kept.tally);
-            kept.logged = now;
+            let tally = std::mem::take(&mut local.tally);
+            local.logged_at = now;
             slog::info!(
                 self.log, "a pool's home at work";
                 "shard" => shard.subject(), "shards" => shard.count, "during_ms" => millis(pause),
                 "offers" => tally.offers, "grants" => tally.grants, "refusals" => tally.refusals,
                 "moves" => tally.moves,
-                "waiting" => kept.pool.waiting(), "running" => kept.pool.running(),
+                "waiting" => local.pool.waiting(), "running" => local.pool.running(),
                 "lag_ms" => millis(lag), "held" => self.held(),
             );
         }
     }
 
     /// The pools that this host keeps.
-    pub(super) fn kept(&self) -> Vec<(Shard, Arc<Mutex<Kept>>)> {
+    pub(super) fn local_pools(&self) -> Vec<(Shard, Arc<Mutex<LocalPool>>)> {
         let pools = lock(&self.pools);
-        let kept = pools.iter();
-        kept.map(|(shard, kept)| (shard.clone(), Arc::clone(kept)))
+        let local = pools.iter();
+        local
+            .map(|(shard, local)| (shard.clone(), Arc::clone(local)))
             .collect()
     }
 
-    /// Its part of the state dump.
+    /// The pools in the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Vec<dump::Pool> {
-        let dump = |(shard, kept): &(Shard, Arc<Mutex<Kept>>)| dump::Pool {
+        let dump = |(shard, local): &(Shard, Arc<Mutex<LocalPool>>)| dump::Pool {
             shard: shard.number,
             shards: shard.count,
             home: self.home_of(shard) == self.me,
-            ..lock(kept).pool.dump(now)
+            ..lock(local).pool.dump(now)
         };
-        let mut pools: Vec<_> = self.kept().iter().map(dump).collect();
+        let mut pools: Vec<_> = self.local_pools().iter().map(dump).collect();
         pools.sort_by(|one, other| (&one.service, one.shard).cmp(&(&other.service, other.shard)));
         pools
     }
--- a/cypressvane/src/transport/desk/limits.rs
+++ b/cypressvane/src/transport/desk/limits.rs
@@ -1,8 +1,8 @@
 //! Rate limits that backend servers name: read from answers, reported to the homes of their pools, and cached.
 //!
-//! The home of a server's pool enforces its limit, so the holder of a request reports what the answer says. It also caches the
-//! limits that it has read, and repeats them to a home that has lost them or never had them: a newly elected one, or one that
-//! restarted.
+//! The home of a server's pool enforces its limit, so the holder of a request reports what the answer says. It also
+//! caches the limits that it has read, and repeats them to a home that has lost them or never had them: a newly elected
+//! one, or one that restarted.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -19,37 +19,39 @@
 use crate::transport::metrics::Metrics;
 use crate::transport::runtime::lock;
 
-/// Most limits that are remembered: each server of the largest site.
-const HEARD_MAX: usize = 4_096;
+/// Most cached limits: one for each server of the largest site.
+const CACHED_LIMITS_MAX: usize = 4_096;
 
-/// Shortest time between two lines in the log about malformed limits; a counter has them all.
-const MALFORMED_LOGGED: Duration = Duration::from_secs(5);
+/// Shortest interval between two log lines about malformed limits; a counter counts all of them.
+const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A limit that this host heard of a server.
+/// A limit that this host has read from a server's answer.
 #[derive(Debug)]
-pub(super) struct Heard {
-    /// The pool that the server is of.
+pub(super) struct CachedLimit {
+    /// The pool of the server.
     pool: Name,
     per_second: f64,
     at: Instant,
-    /// The home that was told of it last.
-    told: Name,
+    /// The home to which it was last reported.
+    reported_to: Name,
 }
 
-/// Where a held request runs.
+/// The grant of a held request.
 struct Granted {
     server: Name,
-    /// Whether the server named a limit, as far as the home knew.
+    /// Whether the home knew a limit of the server.
     limited: bool,
     home: Name,
     shard: Shard,
 }
 
 impl Place {
-    /// Tells the home what the granted server's answer says of its limit.
+    /// Reports the limit in an answer of the granted server to the home.
+    ///
+    /// An answer without a limit is reported only if the home or this host knew of one, which it ends.
     pub(crate) fn hear_limit(&self, named: Limit, metrics: &Metrics) {
-        let is_none_known = self.desk.limits_heard.load(Ordering::Relaxed) == 0;
-        if named == Limit::Unnamed && is_none_known && !self.is_limited() {
+        let is_none_cached = self.desk.cached_limit_count.load(Ordering::Relaxed) == 0;
+        if named == Limit::Unnamed && is_none_cached && !self.is_limited() {
             return;
         }
         let Some(granted) = self.granted() else {
@@ -64,7 +66,7 @@
                 return self.desk.log_malformed(&granted.server, now);
             }
         };
-        let was_limited = self.desk.note_limit(&granted, per_second, now);
+        let was_limited = self.desk.cache_limit(&granted, per_second, now);
         if per_second.is_none() && !granted.limited && !was_limited {
             return;
         }
@@ -76,17 +78,17 @@
                 per_second,
             },
         };
-        self.desk.say(&granted.home, message, now);
+        self.desk.send(&granted.home, message, now);
     }
 
-    /// Whether the request runs at a server that named a limit, as far as the home knew when it granted it.
+    /// Whether the home knew a limit of the server when it granted the request.
     fn is_limited(&self) -> bool {
         let held = lock(&self.desk.held);
         let stage = held.get(&self.sequence).map(|held| &held.stage);
         matches!(stage, Some(Stage::Granted { limited: true, .. }))
     }
 
-    /// Where the request runs, if it does.
+    /// The grant of the request, if it has one.
     fn granted(&self) -> Option<Granted> {
         let held = lock(&self.desk.held);
         let held = held.get(&self.sequence)?;
@@ -105,71 +107,76 @@
 }
 
 impl Desk {
-    /// Remembers what an answer says of a server's limit; tells whether one was remembered.
-    fn note_limit(&self, granted: &Granted, per_second: Option<f64>, now: Instant) -> bool {
+    /// Caches the limit that an answer names, or removes it if it names none; returns whether one was cached before.
+    fn cache_limit(&self, granted: &Granted, per_second: Option<f64>, now: Instant) -> bool {
         let server = &granted.server;
         let Some(per_second) = per_second else {
-            let is_any = self.limits_heard.load(Ordering::Relaxed) > 0;
-            return is_any && self.change_heard(|heard| heard.remove(server).is_some());
+            let is_any_cached = self.cached_limit_count.load(Ordering::Relaxed) > 0;
+            return is_any_cached
+                && self.update_cached_limits(|cached| cached.remove(server).is_some());
         };
-        let limit = Heard {
+        let limit = CachedLimit {
             pool: granted.shard.service.clone(),
             per_second,
             at: now,
-            told: granted.home.clone(),
+            reported_to: granted.home.clone(),
         };
-        self.change_heard(|heard| {
-            if heard.len() >= HEARD_MAX && !heard.contains_key(server) {
+        self.update_cached_limits(|cached| {
+            if cached.len() >= CACHED_LIMITS_MAX && !cached.contains_key(server) {
                 return false;
             }
-            heard.insert(server.clone(), limit).is_some()
+            cached.insert(server.clone(), limit).is_some()
         })
     }
 
-    /// Logs that a server names what is no limit, now and then.
+    /// Logs that a server names a malformed limit, at most once per interval.
     fn log_malformed(&self, server: &Name, now: Instant) {
-        let mut logged = lock(&self.malformed_logged);
-        if logged.is_some_and(|at| now.saturating_duration_since(at) < MALFORMED_LOGGED) {
+        let mut logged_at = lock(&self.malformed_logged_at);
+        if logged_at.is_some_and(|at| now.saturating_duration_since(at) < MALFORMED_LOG_INTERVAL) {
             return;
         }
-        *logged = Some(now);
+        *logged_at = Some(now);
         slog::warn!(
             self.log, "a backend server names a limit that is none, and is used as before";
             "server" => &**server,
         );
     }
 
-    fn change_heard<T>(&self, change: impl FnOnce(&mut HashMap<Name, Heard>) -> T) -> T {
-        let mut heard = lock(&self.heard_limits);
-        let result = change(&mut heard);
-        self.limits_heard.store(heard.len(), Ordering::Relaxed);
+    fn update_cached_limits<T>(
+        &self,
+        change: impl FnOnce(&mut HashMap<Name, CachedLimit>) -> T,
+    ) -> T {
+        let mut cached = lock(&self.cached_limits);
+        let result = change(&mut cached);
+        self.cached_limit_count
+            .store(cached.len(), Ordering::Relaxed);
         result
     }
 
-    /// Repeats the cached limits to the homes that may lack them: those that have restarted by `is_anew`, and those that have
-    /// become the home since the last report.
-    pub(crate) fn tell_limits(&self, is_anew: impl Fn(&Name) -> bool, now: Instant) {
-        if self.limits_heard.load(Ordering::Relaxed) == 0 {
+    /// Repeats the cached limits to the homes that may lack them: those that `may_lack` selects, because they restarted
+    /// or their link was reconnected, and those that have become the home since the last report.
+    pub(crate) fn repeat_limits(&self, may_lack: impl Fn(&Name) -> bool, now: Instant) {
+        if self.cached_limit_count.load(Ordering::Relaxed) == 0 {
             return;
         }
         let listed = self.listed.load();
-        let is_listed = |server: &Name, limit: &Heard| {
+        let is_listed = |server: &Name, limit: &CachedLimit| {
             let specs = listed.specs.get(&limit.pool);
             specs.is_some_and(|specs| specs.iter().any(|spec| spec.name == *server))
         };
-        let mut said = Vec::new();
-        self.change_heard(|heard| {
-            heard.retain(|server, limit| is_listed(server, limit));
-            for (server, limit) in heard.iter_mut() {
+        let mut outgoing = Vec::new();
+        self.update_cached_limits(|cached| {
+            cached.retain(|server, limit| is_listed(server, limit));
+            for (server, limit) in cached.iter_mut() {
                 let Some(cut) = listed.cuts.get(&limit.pool) else {
                     continue;
                 };
                 let shard = cut.shard_of(server);
                 let home = self.home_of(&shard);
-                if home == limit.told && !is_anew(&home) {
+                if home == limit.reported_to && !may_lack(&home) {
                     continue;
                 }
-                limit.told = home.clone();
+                limit.reported_to = home.clone();
                 let message = Message::Limit {
                     shard,
                     server: server.clone(),
@@ -178,34 +185,34 @@
                         ago_ms: millis_since(limit.at, now),
                     },
                 };
-                said.push((home, message));
+                outgoing.push((home, message));
             }
         });
-        for (home, message) in said {
-            self.say(&home, message, now);
+        for (home, message) in outgoing {
+            self.send(&home, message, now);
         }
     }
 
-    /// Sets this host's part of the limits that it keeps as a home.
+    /// Sets the part of each limit that this host, as a home, may use.
     pub(crate) fn share_limits(&self, now: Instant) {
         let part = self.links.share(now).part();
         for shard in self.shards() {
-            self.act(&shard, |pool| pool.share(part, now));
+            self.update_pool(&shard, |pool| pool.share(part, now));
         }
     }
 
-    /// Number of servers that name a limit, of the pools whose home this host is.
+    /// Number of servers with a known limit in the pools whose home this host is.
     pub(crate) fn limited_servers(&self) -> usize {
-        let kept = self.kept();
-        let own = kept
+        let local = self.local_pools();
+        let own = local
             .iter()
             .filter(|(shard, _)| self.home_of(shard) == self.me);
-        own.map(|(_, kept)| lock(kept).pool.limited()).sum()
+        own.map(|(_, local)| lock(local).pool.limited()).sum()
     }
 }
 
-/// Tells a pool what a host says of a server's limit; `ticket` gives that host's tickets.
-pub(super) fn hear(
+/// Applies a host's report of a server's limit to the pool; `ticket` makes that host's tickets from sequence numbers.
+pub(super) fn apply_report(
     pool: &mut Pool,
     from: &Name,
     ticket: impl Fn(u64) -> Ticket,
--- a/cypressvane/src/transport/desk/listed.rs
+++ b/cypressvane/src/transport/desk/listed.rs
@@ -1,4 +1,4 @@
-//! The backend servers as a desk knows them, and how each service's are cut into shards.
+//! The backend servers in the host list, and their division into shards.
 
 use std::collections::HashMap;
 
@@ -6,10 +6,10 @@
 use crate::coordination::shard::{Cut, Shard};
 use crate::state::name::Name;
 
-/// The servers of each service.
+/// The servers of each pool.
 pub(super) type Specs = HashMap<Name, Vec<Spec>>;
 
-/// The host list's servers, and how each service's are cut into shards.
+/// The servers in the host list, and the shards of each pool.
 #[derive(Debug, Default)]
 pub(super) struct Listed {
     pub(super) specs: Specs,
@@ -26,7 +26,7 @@
     }
 
     /// The servers of a shard.
-    pub(super) fn of_shard(&self, shard: &Shard) -> Vec<Spec> {
+    pub(super) fn servers_of(&self, shard: &Shard) -> Vec<Spec> {
         let specs = self
             .specs
             .get(&shard.service)
@@ -35,8 +35,8 @@
         own.cloned().collect()
     }
 
-    /// Whether each service has as many shards there.
-    pub(super) fn is_cut_like(&self, other: &Self) -> bool {
+    /// Whether each pool has the same number of shards in both lists.
+    pub(super) fn has_same_shard_counts(&self, other: &Self) -> bool {
         let counts = |listed: &Self| -> HashMap<Name, u16> {
             let cuts = listed.cuts.iter();
             cuts.map(|(service, cut)| (service.clone(), cut.count()))
--- a/cypressvane/src/transport/desk/mod.rs
+++ b/cypressvane/src/transport/desk/mod.rs
@@ -1,7 +1,7 @@
 //! The requests that this host holds, and the pools whose home it is.
 //!
-//! As a holder it offers each waiting request to the pool's home and hears back; as a home it keeps
-//! the queue. Both sides meet here, so that a host that is its own home sends nothing.
+//! As a holder, the host offers each waiting request to the home of its pool and receives the home's decision. As a
+//! home, it keeps the pool's queue. A host that is its own home handles its messages directly and sends nothing.
 
 mod holder;
 mod homes;
@@ -34,42 +34,43 @@
 use crate::state::name::Name;
 use crate::transport::peers::links::Links;
 
-use homes::Kept;
-use limits::Heard;
+use homes::LocalPool;
+use limits::CachedLimit;
 use listed::Listed;
 pub(crate) use place::Place;
 
-/// Time between two looks at the pools' deadlines and resting servers.
+/// Interval at which the pools check deadlines and servers in backoff.
 pub(crate) const TICK: Duration = Duration::from_millis(20);
-/// Age from which a grant that its holder does not list is taken as lost.
+/// Age from which a grant that its holder does not list is taken as lost; also the shortest interval between two
+/// reports of running requests.
 const RECONCILE_AFTER: Duration = Duration::from_secs(2);
 
-/// A server that a request may be sent to.
+/// The backend server that a request may be sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Grant {
     pub(crate) server: Name,
-    /// Where it answers.
+    /// Address of the server's listener.
     pub(crate) address: SocketAddr,
     /// Forecast time to the first token.
     pub(crate) first_token: Duration,
-    /// Whether the server names a limit, as far as the home knows.
+    /// Whether the home knows a rate limit of the server.
     pub(crate) limited: bool,
 }
 
-/// What a holder hears of a waiting request.
+/// The home's decision on a waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Word {
-    /// It may be sent.
+    /// The request may be sent to this server.
     Grant(Grant),
-    /// It is refused.
+    /// The request is refused for this reason.
     Refuse(Reason),
 }
 
-/// The facts of a request that is to wait.
+/// What the scheduler needs to know of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Wish {
     pub(crate) service: Name,
-    /// The pool of the service's servers that is to serve it.
+    /// The pool of the service's servers that serves the request.
     pub(crate) pool: Name,
     pub(crate) rank: usize,
     pub(crate) priority: i64,
@@ -77,22 +78,22 @@
     pub(crate) arrived: Instant,
     /// When the whole answer is due.
     pub(crate) deadline: Instant,
-    /// When a first token is no more use.
+    /// When a first token stops being useful.
     pub(crate) due: Instant,
     pub(crate) first_token: Duration,
-    /// Longest pause between events that is on time; zero where there is no such bound.
+    /// Longest pause between two events of the answer that is on time; zero if there is no bound.
     pub(crate) pause: Duration,
-    /// How many tokens its answer is likely to have; 0 where nothing is known of it.
+    /// Estimated tokens of the answer; 0 if unknown.
     pub(crate) answer_tokens: u32,
-    /// Whether it is refused as soon as it is not likely to have its turn on time.
+    /// Whether the home refuses the request as soon as it is unlikely to be granted in time.
     pub(crate) early: bool,
-    /// Whether it comes from a server that failed.
+    /// Whether the request is offered again after a server failed.
     pub(crate) returning: bool,
-    /// The server that failed it, where one did.
+    /// The server of the last grant that was returned; the next grant avoids it.
     pub(crate) avoid: Option<Name>,
-    /// Tells a request that comes back after a refusal.
+    /// Identifies a request that its caller repeats after a refusal; the repeat goes to the same shard.
     pub(crate) mark: Option<u64>,
-    /// What its prompt begins with.
+    /// Hash of the first part of the prompt; a server that has read it recently need not read it again.
     pub(crate) opening: Option<u64>,
 }
 
@@ -102,7 +103,7 @@
     Granted {
         server: Name,
         prefilled: bool,
-        /// Whether the server names a limit, as far as the home knew.
+        /// Whether the home knew a rate limit of the server.
         limited: bool,
     },
 }
@@ -112,46 +113,46 @@
     wish: Wish,
     shard: Shard,
     home: Name,
-    /// Whether another shard gave it away to this one.
+    /// Whether another shard has passed the request on.
     moved: bool,
-    /// Shards that have refused it, since it waits, for want of a server.
+    /// Number of shards that have refused the request for lack of a server since it started to wait.
     without_server: u16,
     stage: Stage,
-    words: Sender<Word>,
+    decisions: Sender<Word>,
 }
 
-/// Both sides of this host.
+/// The scheduling state of this host, as a holder and as a home.
 #[derive(Debug)]
 pub(crate) struct Desk {
     me: Name,
     incarnation: u64,
     waiting_max: usize,
-    /// What is believed of a backend server at first.
+    /// Initial assumptions about a backend server.
     belief: Belief,
     links: Arc<Links>,
     log: Logger,
-    next: AtomicU64,
+    next_sequence: AtomicU64,
     held: Mutex<HashMap<u64, Held>>,
-    pools: Mutex<HashMap<Shard, Arc<Mutex<Kept>>>>,
+    pools: Mutex<HashMap<Shard, Arc<Mutex<LocalPool>>>>,
     listed: ArcSwap<Listed>,
-    /// Which homes give this host no word.
+    /// Shards whose homes leave offers unanswered.
     answering: Mutex<Answering>,
-    /// What other shards have told of their places.
+    /// Idle places that other shards have reported.
     idle: Mutex<Idle>,
-    /// When the homes were last told of what runs.
-    reconciled: Mutex<Option<Instant>>,
-    /// When each home was last told of something that runs.
-    told_running: Mutex<HashMap<(Name, Shard), Instant>>,
-    /// Servers that were in the list and are no longer, by when they were missed.
+    /// When the homes last got a report of running requests.
+    reconciled_at: Mutex<Option<Instant>>,
+    /// When this host last had running requests, by home and shard.
+    reported_running: Mutex<HashMap<(Name, Shard), Instant>>,
+    /// Servers that have left the host list, with the time at which this host noticed it.
     departed: Mutex<HashMap<Name, Instant>>,
-    /// How far this host is behind with its work.
+    /// Scheduling delay of this host, measured by how late `tick` runs.
     lag: Mutex<Lag>,
-    /// Limits that this host heard servers name.
-    heard_limits: Mutex<HashMap<Name, Heard>>,
-    /// How many there are.
-    limits_heard: AtomicUsize,
-    /// When there was a line in the log about a malformed limit.
-    malformed_logged: Mutex<Option<Instant>>,
+    /// Rate limits that this host has read from servers' answers.
+    cached_limits: Mutex<HashMap<Name, CachedLimit>>,
+    /// Number of cached limits, which can be read without the lock.
+    cached_limit_count: AtomicUsize,
+    /// When a malformed limit was last logged.
+    malformed_logged_at: Mutex<Option<Instant>>,
 }
 
 impl Desk {
@@ -163,33 +164,33 @@
             belief: config.engines.belief(),
             links,
             log,
-            next: AtomicU64::new(1),
+            next_sequence: AtomicU64::new(1),
             held: Mutex::new(HashMap::new()),
             pools: Mutex::new(HashMap::new()),
             listed: ArcSwap::default(),
             answering: Mutex::default(),
             idle: Mutex::default(),
-            reconciled: Mutex::default(),
-            told_running: Mutex::default(),
+            reconciled_at: Mutex::default(),
+            reported_running: Mutex::default(),
             departed: Mutex::default(),
             lag: Mutex::new(Lag::of(TICK)),
-            heard_limits: Mutex::default(),
-            limits_heard: AtomicUsize::new(0),
-            malformed_logged: Mutex::default(),
+            cached_limits: Mutex::default(),
+            cached_limit_count: AtomicUsize::new(0),
+            malformed_logged_at: Mutex::default(),
         }
     }
 
-    /// Says something to a home, which may be this host.
-    pub(super) fn say(&self, home: &Name, message: Message, now: Instant) {
+    /// Sends a message to a home, or handles it directly if this host is the home.
+    pub(super) fn send(&self, home: &Name, message: Message, now: Instant) {
         if *home == self.me {
-            self.take(home, self.incarnation, message, now);
+            self.handle(home, self.incarnation, message, now);
         } else {
             self.links.send(home, message);
         }
     }
 
-    /// Takes in what a host says, this one included.
-    pub(crate) fn take(&self, from: &Name, incarnation: u64, message: Message, now: Instant) {
+    /// Handles a message from a host, which may be this one.
+    pub(crate) fn handle(&self, from: &Name, incarnation: u64, message: Message, now: Instant) {
         let ticket = |sequence| Ticket {
             holder: from.clone(),
             incarnation,
@@ -199,15 +200,15 @@
             Message::Offer(offer) => {
                 let shard = offer.shard.clone();
                 let made = offer.made;
-                let place = self.links.data_centre_of(from);
-                let offer = pool_offer(ticket(offer.sequence), offer, place, now);
-                self.act_on(&shard, offer, made, now);
+                let data_centre = self.links.data_centre_of(from);
+                let offer = pool_offer(ticket(offer.sequence), offer, data_centre, now);
+                self.handle_offer(&shard, offer, made, now);
             }
             Message::Withdraw { shard, sequence } => {
-                self.act(&shard, |pool| pool.withdraw(&ticket(sequence), now));
+                self.update_pool(&shard, |pool| pool.withdraw(&ticket(sequence), now));
             }
             Message::FirstToken { shard, sequence } => {
-                self.act(&shard, |pool| pool.first_token(&ticket(sequence), now));
+                self.update_pool(&shard, |pool| pool.first_token(&ticket(sequence), now));
             }
             Message::Finish {
                 shard,
@@ -215,7 +216,7 @@
                 end,
                 pause_ms,
             } => {
-                self.act(&shard, |pool| {
+                self.update_pool(&shard, |pool| {
                     if let Some(longest) = pause_ms {
                         pool.paused(&ticket(sequence), Duration::from_millis(longest));
                     }
@@ -227,8 +228,8 @@
                 server,
                 heard,
             } => {
-                self.act(&shard, |pool| {
-                    limits::hear(pool, from, ticket, &server, heard, now)
+                self.update_pool(&shard, |pool| {
+                    limits::apply_report(pool, from, ticket, &server, heard, now)
                 });
             }
             Message::Adopt {
@@ -238,13 +239,13 @@
                 prompt_tokens,
                 prefilled,
             } => {
-                self.act(&shard, |pool| {
+                self.update_pool(&shard, |pool| {
                     pool.adopt(ticket(sequence), &server, prompt_tokens, prefilled, now);
                     Vec::new()
                 });
             }
             Message::Reconcile { shard, running } => {
-                self.act(&shard, |pool| {
+                self.update_pool(&shard, |pool| {
                     pool.reconcile(from, incarnation, &running, RECONCILE_AFTER, now)
                 });
             }
@@ -262,7 +263,7 @@
                     first_token: Duration::from_millis(first_token_ms),
                     limited,
                 };
-                self.hear_grant(from, &shard, sequence, grant, now);
+                self.handle_grant(from, &shard, sequence, grant, now);
             }
             Message::Refuse {
                 sequence,
@@ -271,11 +272,11 @@
                 retry_after_ms,
             } => {
                 let reason = message::reason(code, message, retry_after_ms);
-                self.hear_refusal(sequence, reason, now);
+                self.handle_refusal(sequence, reason, now);
             }
-            Message::Queued { sequence } => self.hear_queued(from, sequence, now),
-            Message::Move { sequence, to } => self.hear_move(from, sequence, to, now),
-            Message::Idle { shard, places } => self.hear_idle(shard, places, now),
+            Message::Queued { sequence } => self.handle_queued(from, sequence, now),
+            Message::Move { sequence, to } => self.handle_move(from, sequence, to, now),
+            Message::Idle { shard, places } => self.handle_idle(shard, places, now),
             Message::Ended(_)
             | Message::Answered { .. }
             | Message::Rulings { .. }
--- a/cypressvane/src/transport/desk/place.rs
+++ b/cypressvane/src/transport/desk/place.rs
@@ -1,4 +1,4 @@
-//! A held request's place at the desk.
+//! The handle of a held request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,37 +14,40 @@
 use crate::state::units::millis;
 use crate::transport::runtime::lock;
 
-/// A held request's place; dropping it gives up the request or its grant.
+/// The handle of a held request; dropping it withdraws the request or returns its grant.
 #[derive(Debug)]
 pub(crate) struct Place {
     pub(super) desk: Arc<Desk>,
     pub(super) sequence: u64,
-    pub(super) words: Receiver<Word>,
-    /// Longest pause between events since the last grant.
+    pub(super) decisions: Receiver<Word>,
+    /// Longest pause between two events of the answer since the last grant.
     pub(super) longest_pause: Option<Duration>,
     pub(super) ended: bool,
 }
 
 impl Place {
-    /// Waits for what the home says.
+    /// Waits for the home's decision.
     pub(crate) async fn word(&self) -> Word {
-        let word = self.words.recv().await;
-        word.expect("the desk keeps the sender as long as the place is held")
+        let decision = self.decisions.recv().await;
+        decision.expect("the sender exists for as long as the request is held")
     }
 
-    /// The granted server accepted no connection: waits for another.
+    /// Returns the grant because the server accepted no connection, and offers the request again.
     pub(crate) fn unreachable(&mut self) {
         self.again(End::Unreachable, None);
     }
 
-    /// From the next offer on, another pool is to serve the request.
+    /// Sets the pool that serves the request from the next offer on.
     pub(crate) fn change_pool(&self, pool: &Name) {
         if let Some(held) = lock(&self.desk.held).get_mut(&self.sequence) {
             held.wish.pool = pool.clone();
         }
     }
 
-    /// Gives the grant back as `end` says, and waits for another until `due` or as before.
+    /// Returns the grant with the outcome `end`, and offers the request again.
+    ///
+    /// With `due`, the request waits until then and counts as one that a server has failed; otherwise the deadline
+    /// stays.
     pub(crate) fn again(&mut self, end: End, due: Option<Instant>) {
         let now = Instant::now();
         let pause_ms = self.longest_pause.take().map(millis);
@@ -71,14 +74,14 @@
             held.moved = false;
             held.without_server = 0;
             let shard = self.desk.shard_for(&held.wish, now);
-            let old = held.put(&shard, self.desk.home_of(&shard), now);
+            let old = held.reassign(&shard, self.desk.home_of(&shard), now);
             (old, finish, held.home.clone(), held.offer(sequence, now))
         };
-        self.desk.say(&old, finish, now);
-        self.desk.say(&home, offer, now);
+        self.desk.send(&old, finish, now);
+        self.desk.send(&home, offer, now);
     }
 
-    /// The first token came.
+    /// Reports the first token to the home.
     pub(crate) fn first_token(&self) {
         let (home, shard) = {
             let mut held = lock(&self.desk.held);
@@ -94,20 +97,20 @@
             shard,
             sequence: self.sequence,
         };
-        self.desk.say(&home, message, Instant::now());
+        self.desk.send(&home, message, Instant::now());
     }
 
-    /// A pause between two events of its answer.
+    /// Records a pause between two events of the answer.
     pub(crate) fn pause(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(Some(pause));
     }
 
-    /// The request ended.
+    /// Ends the request and drops the handle.
     pub(crate) fn finish(mut self, end: End) {
         self.end(end);
     }
 
-    /// The request ended, while its place is still kept.
+    /// Ends the request but keeps the handle; further calls have no effect.
     pub(crate) fn end(&mut self, end: End) {
         if std::mem::replace(&mut self.ended, true) {
             return;
@@ -124,7 +127,7 @@
                 pause_ms: self.longest_pause.map(millis),
             },
         };
-        self.desk.say(&held.home, message, Instant::now());
+        self.desk.send(&held.home, message, Instant::now());
     }
 }
 
--- a/cypressvane/src/transport/desk/reconcile.rs
+++ b/cypressvane/src/transport/desk/reconcile.rs
@@ -1,4 +1,4 @@
-//! Which grants are still in use: a home that missed an end, or whose grant was lost, takes the place back.
+//! Reports of the grants still in use, so that a home takes a place back if the end of a request or its grant was lost.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,34 +10,36 @@
 use crate::state::name::Name;
 use crate::transport::runtime::lock;
 
-/// Rounds of reconciliation without a word of a grant's holder after which a home takes the grant as lost: two
-/// words may be lost in a row.
+/// Reconciliation rounds without a report of its holder after which a home takes a grant as lost: two reports may be
+/// lost in a row.
 const UNCONFIRMED_ROUNDS: u32 = 3;
-/// How often a home is told that nothing of this host runs any more, after the last that did.
-const EMPTY_TOLD: u32 = 3;
+/// Rounds for which a home still gets empty reports after the last of its grants to this host has ended.
+const EMPTY_REPORTS: u32 = 3;
 
 impl Desk {
-    /// Tells each home which of its grants are still in use; where there are many hosts, less often, since
-    /// a home hears it from each of them. A home to which the link was made anew is told at once: ends that were told
-    /// over the one before may be lost, and places would stay taken for seconds.
+    /// Reports to each home which of its grants are still in use.
+    ///
+    /// The interval grows with the number of hosts, since a home gets a report from each of them. A home whose link was
+    /// reconnected gets a report at once: the ends of requests that were sent over the previous connection may be lost,
+    /// and their places would stay taken for seconds.
     pub(crate) fn reconcile(&self, now: Instant) {
-        let anew = self.links.connected_anew(RECONCILE_AFTER, now);
+        let reconnected = self.links.take_reconnected(RECONCILE_AFTER, now);
         let pause = RECONCILE_AFTER.mul_f64(self.links.stretch());
         let is_due = {
-            let mut reconciled = lock(&self.reconciled);
-            let is_due = reconciled.is_none_or(|at| now.saturating_duration_since(at) >= pause);
+            let mut reconciled_at = lock(&self.reconciled_at);
+            let is_due = reconciled_at.is_none_or(|at| now.saturating_duration_since(at) >= pause);
             if is_due {
-                *reconciled = Some(now);
+                *reconciled_at = Some(now);
             }
             is_due
         };
-        if !is_due && anew.is_empty() {
+        if !is_due && reconnected.is_empty() {
             return;
         }
-        self.tell_limits(|home| anew.contains(home), now);
+        self.repeat_limits(|home| reconnected.contains(home), now);
         for ((home, shard), running) in self.running_by_home(pause, now) {
-            if is_due || anew.contains(&home) {
-                self.say(&home, Message::Reconcile { shard, running }, now);
+            if is_due || reconnected.contains(&home) {
+                self.send(&home, Message::Reconcile { shard, running }, now);
             }
         }
         if !is_due {
@@ -45,11 +47,11 @@
         }
         for shard in self.shards() {
             let age = pause * UNCONFIRMED_ROUNDS;
-            self.act(&shard, |pool| pool.forget_unconfirmed(age, now));
+            self.update_pool(&shard, |pool| pool.forget_unconfirmed(age, now));
         }
     }
 
-    /// What runs here, by home and shard; nothing for those that had something not long ago.
+    /// The requests of this host that run, by home and shard; empty lists for those that had some recently.
     fn running_by_home(&self, pause: Duration, now: Instant) -> HashMap<(Name, Shard), Vec<u64>> {
         let mut running: HashMap<(Name, Shard), Vec<u64>> = HashMap::new();
         for (sequence, held) in lock(&self.held).iter() {
@@ -58,14 +60,14 @@
                 running.entry(pool).or_default().push(*sequence);
             }
         }
-        let mut told = lock(&self.told_running);
+        let mut reported = lock(&self.reported_running);
         for pool in running.keys() {
-            told.insert(pool.clone(), now);
+            reported.insert(pool.clone(), now);
         }
-        // A home that missed a request's end hears of it by the request not being in the list.
-        let told_for = pause * EMPTY_TOLD;
-        told.retain(|_, at| now.saturating_duration_since(*at) < told_for);
-        for pool in told.keys() {
+        // A home that missed the end of a request learns of it because the list lacks the request.
+        let reported_for = pause * EMPTY_REPORTS;
+        reported.retain(|_, at| now.saturating_duration_since(*at) < reported_for);
+        for pool in reported.keys() {
             running.entry(pool.clone()).or_default();
         }
         running
--- a/cypressvane/src/transport/desk/tally.rs
+++ b/cypressvane/src/transport/desk/tally.rs
@@ -1,15 +1,15 @@
-//! What a home has decided of late, for the log.
+//! Counts of a home's recent decisions, for the log.
 
 use crate::coordination::pool::Action;
 
-/// What a home has decided since its last line in the log.
+/// Decisions of a home since its last log line.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Tally {
-    /// Offers that it read, those said again included.
+    /// Offers received, including repeated ones.
     pub(super) offers: u64,
     pub(super) grants: u64,
     pub(super) refusals: u64,
-    /// Offers that were given to other shards.
+    /// Offers passed to other shards.
     pub(super) moves: u64,
 }
 
--- a/cypressvane/src/transport/peers/links/counters.rs
+++ b/cypressvane/src/transport/peers/links/counters.rs
@@ -1,13 +1,13 @@
-//! What a host sends to the others, in metrics.
+//! Metrics of the traffic to the other hosts.
 
 use prometheus::IntCounter;
 
-/// What was sent to the other hosts.
+/// Counters of the traffic to the other hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct Counters {
-    /// Bytes of frames.
+    /// Bytes of the frames sent.
     pub(crate) bytes: IntCounter,
-    /// Messages.
+    /// Messages sent.
     pub(crate) messages: IntCounter,
 }
 
--- a/cypressvane/src/transport/peers/links/link.rs
+++ b/cypressvane/src/transport/peers/links/link.rs
@@ -1,4 +1,4 @@
-//! One link: what is believed of the host at its other end, and how messages get there.
+//! One link: the state of the host at its other end, and the connection that carries messages there.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,40 +21,41 @@
 use crate::transport::http::client;
 use crate::transport::runtime::{lock, within};
 
-/// Longest time to connect a link.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Time after which a link breaks that the other host acknowledges nothing on, though its connection may
-/// look open: a packet is sent three times within it, so that two losses in a row break nothing.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(700);
-/// Rest before a link is connected again that could not be, or that broke as soon as it was.
-const RECONNECT: Duration = Duration::from_millis(200);
-/// How often the other host is told what runs after the link was made anew: at once, and when what was on its way then
-/// is old enough to be taken back.
-const TOLD_ANEW: u8 = 2;
-/// Longest time to connect a link again that broke. Meanwhile its host keeps its homes: where connections fall silent,
-/// only these are gone, and homes that move and come back cost every host seconds.
-const CONNECT_AGAIN: Duration = Duration::from_millis(300);
-/// Age from which a connection is doubted: on a younger one, what was said over the one before may still be answered.
-const DOUBTED_FROM: Duration = Duration::from_millis(500);
-/// The same for a connection that was made since the one before was doubted: then the other host is more likely behind with
-/// its work, and connections that all hosts make anew would add to that.
-const DOUBTED_AGAIN_FROM: Duration = Duration::from_secs(4);
+/// Timeout for connecting a link.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time without acknowledgements after which a connection breaks, though it may still look open. A packet is sent three
+/// times within it, so that two losses in a row break nothing.
+const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(700);
+/// Backoff after a failed connection attempt, and after a connection that broke sooner than this.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
+/// Number of reports of running requests that the other host gets after a reconnect: one at once, and one when the
+/// grants that were in transit then are old enough to be taken back.
+const REPORTS_AFTER_RECONNECT: u8 = 2;
+/// Timeout for reconnecting a link that broke. Its host remains a home meanwhile: if only the connections went silent,
+/// the host is still there, and moving its homes away and back would cost every host seconds.
+const RECONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Age from which a connection is replaced when a message goes unanswered: during a younger one, messages that were
+/// sent over the previous connection may still be answered.
+const DOUBT_AGE_MIN: Duration = Duration::from_millis(500);
+/// The same for a connection that itself replaced one for an unanswered message: the other host is then more likely
+/// overloaded, and reconnects from all hosts would add to its load.
+const DOUBT_AGE_MIN_REPEATED: Duration = Duration::from_secs(4);
 /// Most messages in a frame.
 const BATCH_MAX: usize = 256;
-/// Frames that wait for the socket.
+/// Most frames queued for the socket.
 const FRAMES_MAX: usize = 4;
 
-/// What is believed of another host.
+/// What this host knows of another one from its messages.
 #[derive(Clone, Debug, Default)]
 pub(super) struct View {
     pub(super) incarnation: u64,
     pub(super) version: u64,
     pub(super) draining: bool,
-    /// Whether the platform gives it no answer.
+    /// Whether the platform does not answer it.
     pub(super) cut_off: bool,
-    pub(super) heard: Option<Instant>,
-    /// Since when it says that it does not hear this host.
-    pub(super) deaf: Option<Instant>,
+    pub(super) last_received: Option<Instant>,
+    /// Since when its heartbeats say that it receives nothing from this host.
+    pub(super) unheard_since: Option<Instant>,
 }
 
 /// The link to one other host.
@@ -64,38 +65,38 @@
     pub(super) data_centre: Name,
     pub(super) address: SocketAddr,
     pub(super) queue: Sender<Message>,
-    /// Asks for another connection.
-    pub(super) renewals: Sender<()>,
-    /// Whether the other host has left something that it was asked without a word.
+    /// Requests a new connection.
+    pub(super) reconnects: Sender<()>,
+    /// Whether the other host has left a message unanswered, which the next heartbeat tells it.
     pub(super) doubted: AtomicBool,
-    /// What was told over connections before may be lost: how often the other host is still to be told what runs.
-    pub(super) untold: AtomicU8,
-    /// When it was made anew last since it was doubted.
-    pub(super) renewed: Mutex<Option<Instant>>,
+    /// Reports of running requests that are still due after a reconnect, since earlier messages may be lost.
+    pub(super) reports_due: AtomicU8,
+    /// When the connection was last replaced because of an unanswered message.
+    pub(super) reconnected_at: Mutex<Option<Instant>>,
     pub(super) opened: Instant,
-    /// Since when it is connected.
+    /// Since when the link is connected; `None` while it is not.
     pub(super) connected: Mutex<Option<Instant>>,
     pub(super) presence: Mutex<Presence>,
     pub(super) view: Mutex<View>,
-    /// Ends with the link.
+    /// Dropped with the link, which cancels it.
     pub(super) task: Mutex<Option<Task<()>>>,
 }
 
-/// Why a host is not given homes.
+/// Why a host may not be a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unfit {
+pub(crate) enum Ineligibility {
     /// It is not in the host list.
     Gone,
-    /// It is leaving, as it says itself or the host list does.
+    /// It is leaving, by its own heartbeats or by the host list.
     Leaving,
     /// The link to it is not connected.
     Unconnected,
-    /// It was not heard lately.
+    /// No message from it has arrived recently.
     Silent,
 }
 
-impl Unfit {
-    /// The word for it in a log.
+impl Ineligibility {
+    /// The name in a log.
     pub(crate) fn text(self) -> &'static str {
         match self {
             Self::Gone => "gone",
@@ -107,19 +108,23 @@
 }
 
 impl Link {
-    /// Whether it may be the home of a pool.
-    pub(super) fn is_well(&self, suspect_after: Duration, now: Instant) -> bool {
-        self.unfit(suspect_after, now).is_none()
+    /// Whether the other host may be a home.
+    pub(super) fn is_eligible(&self, suspect_after: Duration, now: Instant) -> bool {
+        self.ineligibility(suspect_after, now).is_none()
     }
 
-    /// Why it may not be the home of a pool, if it may not.
-    pub(super) fn unfit(&self, suspect_after: Duration, now: Instant) -> Option<Unfit> {
+    /// Why the other host may not be a home; `None` if it may.
+    pub(super) fn ineligibility(
+        &self,
+        suspect_after: Duration,
+        now: Instant,
+    ) -> Option<Ineligibility> {
         if *lock(&self.presence) != Presence::Live || lock(&self.view).draining {
-            Some(Unfit::Leaving)
+            Some(Ineligibility::Leaving)
         } else if !self.is_connected() {
-            Some(Unfit::Unconnected)
-        } else if !self.is_heard(suspect_after, now) {
-            Some(Unfit::Silent)
+            Some(Ineligibility::Unconnected)
+        } else if !self.has_received_within(suspect_after, now) {
+            Some(Ineligibility::Silent)
         } else {
             None
         }
@@ -129,121 +134,125 @@
         lock(&self.connected).is_some()
     }
 
-    /// Asks for another connection.
-    pub(super) fn renew(&self) {
-        // A full channel asks for it already.
-        let _ = self.renewals.try_send(());
+    /// Requests a new connection.
+    pub(super) fn reconnect(&self) {
+        // A full channel already holds such a request.
+        let _ = self.reconnects.try_send(());
     }
 
-    /// Asks for another connection, unless this one is new; tells whether it does.
-    pub(super) fn renew_if_old(&self, now: Instant) -> bool {
+    /// Requests a new connection unless the current one is too young; returns whether it does.
+    pub(super) fn reconnect_if_old(&self, now: Instant) -> bool {
         let connected = *lock(&self.connected);
         let Some(age) = connected.map(|at| now.saturating_duration_since(at)) else {
             return false;
         };
-        let mut renewed = lock(&self.renewed);
-        let is_again =
-            renewed.is_some_and(|at| now.saturating_duration_since(at) < age + DOUBTED_AGAIN_FROM);
-        let least = if is_again {
-            DOUBTED_AGAIN_FROM
+        let mut reconnected_at = lock(&self.reconnected_at);
+        let is_again = reconnected_at
+            .is_some_and(|at| now.saturating_duration_since(at) < age + DOUBT_AGE_MIN_REPEATED);
+        let age_min = if is_again {
+            DOUBT_AGE_MIN_REPEATED
         } else {
-            DOUBTED_FROM
+            DOUBT_AGE_MIN
         };
-        if age < least {
+        if age < age_min {
             return false;
         }
-        *renewed = Some(now);
-        self.renew();
+        *reconnected_at = Some(now);
+        self.reconnect();
         true
     }
 
-    /// Whether the other host is to be told now what runs, since the link was made anew: at once, and `later`.
-    pub(super) fn takes_anew(&self, later: Duration, now: Instant) -> bool {
+    /// Takes one of the reports of running requests due after a reconnect, at once and `later`; returns whether one is
+    /// due.
+    pub(super) fn take_due_report(&self, later: Duration, now: Instant) -> bool {
         let Some(connected) = *lock(&self.connected) else {
             return false;
         };
         let age = now.saturating_duration_since(connected);
-        let left = self.untold.load(Ordering::Relaxed);
-        let is_due = left == TOLD_ANEW || (left > 0 && age >= later);
+        let left = self.reports_due.load(Ordering::Relaxed);
+        let is_due = left == REPORTS_AFTER_RECONNECT || (left > 0 && age >= later);
         if is_due {
-            self.untold.store(left - 1, Ordering::Relaxed);
+            self.reports_due.store(left - 1, Ordering::Relaxed);
         }
         is_due
     }
 
-    /// Whether the other host has left something without a word since this was asked last.
+    /// Whether the other host has left a message unanswered since the last call.
     pub(super) fn take_doubt(&self) -> bool {
         self.doubted.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether the other host was not heard for `time`, though the link has been connected for as long.
+    /// Whether nothing has arrived from the other host for `time`, though the link has been connected for as long.
     pub(super) fn is_silent(&self, time: Duration, now: Instant) -> bool {
         let Some(connected) = *lock(&self.connected) else {
             return false;
         };
-        now.saturating_duration_since(connected) >= time && !self.is_heard(time, now)
+        now.saturating_duration_since(connected) >= time && !self.has_received_within(time, now)
     }
 
-    /// Whether it was heard within `recent`.
-    pub(super) fn is_heard(&self, recent: Duration, now: Instant) -> bool {
-        let heard = lock(&self.view).heard;
-        heard.is_some_and(|at| now.saturating_duration_since(at) < recent)
+    /// Whether a message from the other host has arrived within `recent`.
+    pub(super) fn has_received_within(&self, recent: Duration, now: Instant) -> bool {
+        let last_received = lock(&self.view).last_received;
+        last_received.is_some_and(|at| now.saturating_duration_since(at) < recent)
     }
 
-    /// The word for it in a dump.
+    /// The state of the other host in the dump.
     pub(super) fn state(&self, suspect_after: Duration, now: Instant) -> &'static str {
-        match self.unfit(suspect_after, now) {
+        match self.ineligibility(suspect_after, now) {
             None => "live",
-            Some(Unfit::Leaving) => "leaving",
-            Some(Unfit::Gone | Unfit::Unconnected | Unfit::Silent) => "suspect",
+            Some(Ineligibility::Leaving) => "leaving",
+            Some(Ineligibility::Gone | Ineligibility::Unconnected | Ineligibility::Silent) => {
+                "suspect"
+            }
         }
     }
 }
 
-/// What a link's task is told.
+/// What the task of a link receives.
 pub(super) struct Inbox {
-    /// Messages to be sent.
+    /// Messages to send.
     pub(super) messages: Receiver<Message>,
-    /// Asks for another connection.
-    pub(super) renewals: Receiver<()>,
+    /// Requests for a new connection.
+    pub(super) reconnects: Receiver<()>,
 }
 
 /// Keeps a link connected for as long as it exists.
 pub(super) async fn run(links: Arc<Links>, link: Weak<Link>, address: SocketAddr, inbox: Inbox) {
-    let mut limit = CONNECT;
+    let mut timeout = CONNECT_TIMEOUT;
     loop {
-        let connection = client::connect_noticing(address, limit, UNACKNOWLEDGED).await;
-        let set = |connected| {
+        let connection = client::connect_noticing(address, timeout, UNACKNOWLEDGED_MAX).await;
+        let set_connected = |connected| {
             let Some(link) = link.upgrade() else { return };
             *lock(&link.connected) = connected;
-            link.untold.store(TOLD_ANEW, Ordering::Relaxed);
+            link.reports_due
+                .store(REPORTS_AFTER_RECONNECT, Ordering::Relaxed);
         };
         let Ok(connection) = connection else {
-            set(None);
-            limit = CONNECT;
-            Timer::after(RECONNECT).await;
+            set_connected(None);
+            timeout = CONNECT_TIMEOUT;
+            Timer::after(RECONNECT_BACKOFF).await;
             continue;
         };
-        let began = Instant::now();
-        set(Some(began));
-        // What was asked of the connection before is done.
-        let _ = inbox.renewals.try_recv();
-        let carried = carry(&links, &link, connection, address, &inbox.messages);
-        let renewed = async {
+        let connected_at = Instant::now();
+        set_connected(Some(connected_at));
+        // A request that was meant for the previous connection is void.
+        let _ = inbox.reconnects.try_recv();
+        let transmitted = transmit(&links, &link, connection, address, &inbox.messages);
+        let reconnect_requested = async {
             // The link keeps the sender for as long as it exists.
-            let _ = inbox.renewals.recv().await;
+            let _ = inbox.reconnects.recv().await;
         };
-        carried.or(renewed).await;
-        if began.elapsed() < RECONNECT {
-            set(None);
-            Timer::after(RECONNECT).await;
+        transmitted.or(reconnect_requested).await;
+        if connected_at.elapsed() < RECONNECT_BACKOFF {
+            set_connected(None);
+            Timer::after(RECONNECT_BACKOFF).await;
         }
-        limit = CONNECT_AGAIN;
+        timeout = RECONNECT_TIMEOUT;
     }
 }
 
-/// Carries messages over one connection until it breaks.
-async fn carry(
+/// Sends messages and heartbeats over one connection until it breaks.
+async fn transmit(
     links: &Links,
     link: &Weak<Link>,
     connection: client::Connection,
@@ -258,19 +267,19 @@
     request.insert_header(PROTOCOL, message::VERSION);
     let reader = Box::pin(body.map(Ok::<_, io::Error>)).into_async_read();
     request.set_body(Body::from_reader(reader, None));
-    // The answer comes only when the other host gives the link up.
+    // The other host answers only when it ends the link.
     let sent = async {
         let _ = connection.send(request, Duration::MAX).await;
     };
     let written = async {
-        let mut beat_at = Instant::now();
+        let mut heartbeat_at = Instant::now();
         loop {
-            let mut batch = next_batch(messages, beat_at).await;
+            let mut batch = next_batch(messages, heartbeat_at).await;
             let now = Instant::now();
-            if beat_at <= now {
+            if heartbeat_at <= now {
                 let Some(link) = link.upgrade() else { return };
-                links.beat(&link, &mut batch);
-                beat_at = now + links.heartbeat_every();
+                links.push_heartbeat(&link, &mut batch);
+                heartbeat_at = now + links.heartbeat_interval();
             }
             if batch.is_empty() {
                 continue;
@@ -286,9 +295,9 @@
     sent.or(written).await;
 }
 
-/// Waits for messages, or for the time of a heartbeat.
-async fn next_batch(messages: &Receiver<Message>, beat_at: Instant) -> Vec<Message> {
-    let left = beat_at.saturating_duration_since(Instant::now());
+/// Waits for messages until the next heartbeat is due; returns at most one frame's worth.
+async fn next_batch(messages: &Receiver<Message>, heartbeat_at: Instant) -> Vec<Message> {
+    let left = heartbeat_at.saturating_duration_since(Instant::now());
     let mut batch = Vec::new();
     if let Some(Ok(first)) = within(left, messages.recv()).await {
         batch.push(first);
--- a/cypressvane/src/transport/peers/links/mod.rs
+++ b/cypressvane/src/transport/peers/links/mod.rs
@@ -1,7 +1,7 @@
-//! The links to the other hosts of the region, and what is believed of each host.
+//! The links to the other hosts of the region, and the state of each host.
 //!
-//! Each host keeps one link to each other host: a long HTTP request whose body carries frames one
-//! way. What comes back comes on the other host's own link.
+//! Each host keeps one link to every other host: a long-lived HTTP request whose body carries frames in one direction.
+//! Answers come over the other host's own link.
 
 mod counters;
 mod link;
@@ -31,14 +31,15 @@
 pub(crate) use counters::Counters;
 
 use link::{Inbox, Link, View, run};
+use well::Candidates;
 pub(crate) use well::Moves;
-use well::Well;
 
-/// Messages that wait for a link; more are dropped, since each is repeated or reconciled.
+/// Most messages queued for a link. Further ones are dropped, since each is repeated or reconciled.
 const QUEUE_MAX: usize = 65_536;
 
-/// Hosts up to which heartbeats go as often as the settings say. Beyond, a host sends as many in all:
-/// with 87 hosts each five times a second they were 6% of the worth of a day in bytes.
+/// Number of hosts up to which heartbeats have the configured interval. Beyond it the interval grows, so that a host
+/// sends no more heartbeats in total: with 87 hosts and five heartbeats a second on each link, their bytes cost 6% of
+/// what a day was worth.
 const HOSTS_UNSTRETCHED: u32 = 40;
 
 /// All links of this host.
@@ -46,42 +47,42 @@
 pub(crate) struct Links {
     me: Host,
     incarnation: u64,
-    /// Time between two heartbeats on a link.
+    /// Configured interval between heartbeats on a link.
     heartbeat: Duration,
-    /// Silence after which a host is no longer given homes.
+    /// Configured silence after which a host may no longer be a home.
     suspect_after: Duration,
     peers: ArcSwap<HashMap<Name, Arc<Link>>>,
-    /// The hosts that may be homes, this one included unless it is leaving.
-    well: ArcSwap<Well>,
-    roster_read: AtomicBool,
-    /// When the hosts were last looked at.
-    refreshed: Mutex<Option<Instant>>,
+    /// The hosts that may be homes; this one is among them unless it is leaving and others remain.
+    candidates: ArcSwap<Candidates>,
+    has_read_roster: AtomicBool,
+    /// When the hosts that may be homes were last determined.
+    refreshed_at: Mutex<Option<Instant>>,
     version: AtomicU64,
-    /// When a version was the newest by the platform's clock; told together with the version.
+    /// A version, and when it was the newest by the platform's clock, in milliseconds.
     confirmed: ArcSwapOption<(u64, u64)>,
     draining: AtomicBool,
-    /// Whether the platform gives this host no answer.
+    /// Whether the platform does not answer this host.
     cut_off: AtomicBool,
-    /// How far this host has read the host list itself.
+    /// How far this host itself has read the host list, as the platform's positions.
     list_read: ArcSwap<Vec<u64>>,
-    /// A digest of the rulings on requests under which servers end.
+    /// Digest of the rulings on requests under which servers end.
     rulings: AtomicU64,
     counters: Counters,
 }
 
 impl Links {
-    /// No links yet: this host is every pool's home until it knows others.
+    /// Starts without links: this host is the home of every pool until it knows others.
     pub(crate) fn new(me: Host, timeouts: &Timeouts, incarnation: u64) -> Self {
-        let well = Well::of(vec![me.name.clone()]);
+        let candidates = Candidates::of(vec![me.name.clone()]);
         Self {
             me,
             incarnation,
             heartbeat: Timeouts::of(timeouts.heartbeat_ms),
             suspect_after: Timeouts::of(timeouts.suspect_ms),
             peers: ArcSwap::default(),
-            well: ArcSwap::from_pointee(well),
-            roster_read: AtomicBool::new(false),
-            refreshed: Mutex::default(),
+            candidates: ArcSwap::from_pointee(candidates),
+            has_read_roster: AtomicBool::new(false),
+            refreshed_at: Mutex::default(),
             version: AtomicU64::new(0),
             confirmed: ArcSwapOption::empty(),
             draining: AtomicBool::new(false),
@@ -92,30 +93,33 @@
         }
     }
 
-    /// What was sent to the other hosts.
+    /// Counters of the traffic to the other hosts.
     pub(crate) fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Whether the host list was ever read.
+    /// Whether the host list has been read.
     pub(crate) fn has_roster(&self) -> bool {
-        self.roster_read.load(Ordering::Relaxed)
+        self.has_read_roster.load(Ordering::Relaxed)
     }
 
-    /// Whether there are other hosts, or may be because the host list was not read yet.
+    /// Whether there are other hosts, or may be because the host list has not been read.
     pub(crate) fn expects_peers(&self) -> bool {
         !self.has_roster() || !self.peers.load().is_empty()
     }
 
-    /// Whether every other host has told its version.
-    pub(crate) fn hears_all(&self) -> bool {
+    /// Whether the host list has been read and a message from every other host has arrived.
+    pub(crate) fn has_received_from_all(&self) -> bool {
         let peers = self.peers.load();
-        self.has_roster() && peers.values().all(|link| lock(&link.view).heard.is_some())
+        self.has_roster()
+            && peers
+                .values()
+                .all(|link| lock(&link.view).last_received.is_some())
     }
 
-    /// Follows the host list: links to new hosts are opened, those to absent ones closed.
+    /// Follows the host list: opens links to new hosts, and closes those to hosts that have left it.
     ///
-    /// Returns the names of the hosts that are gone.
+    /// Returns the names of the hosts that have left.
     pub(crate) fn follow(self: &Arc<Self>, entries: &[Entry]) -> Vec<Name> {
         let known = self.peers.load();
         let mut links = HashMap::new();
@@ -139,23 +143,23 @@
             .cloned()
             .collect();
         self.peers.store(Arc::new(links));
-        self.roster_read.store(true, Ordering::Relaxed);
+        self.has_read_roster.store(true, Ordering::Relaxed);
         gone
     }
 
     fn open(self: &Arc<Self>, entry: &Entry) -> Arc<Link> {
-        // A bounded channel would take the memory of all its places at once, for each link.
+        // A bounded channel would allocate its whole capacity at once, for each link.
         let (queue, messages) = async_channel::unbounded();
-        let (renewals, asked) = async_channel::bounded(1);
+        let (reconnects, reconnect_requests) = async_channel::bounded(1);
         let link = Arc::new(Link {
             name: entry.name.clone(),
             data_centre: entry.data_centre.clone(),
             address: entry.address,
             queue,
-            renewals,
+            reconnects,
             doubted: AtomicBool::new(false),
-            untold: AtomicU8::new(0),
-            renewed: Mutex::new(None),
+            reports_due: AtomicU8::new(0),
+            reconnected_at: Mutex::new(None),
             opened: Instant::now(),
             connected: Mutex::default(),
             presence: Mutex::new(entry.presence),
@@ -168,67 +172,66 @@
             entry.address,
             Inbox {
                 messages,
-                renewals: asked,
+                reconnects: reconnect_requests,
             },
         );
         *lock(&link.task) = Some(spawn(running));
         link
     }
 
-    /// Looks again at which hosts may be homes; tells what changed, if anything did.
+    /// Determines which hosts may be homes; returns the changes, if there are any.
     pub(crate) fn refresh(&self, now: Instant) -> Option<Moves> {
         let links = self.peers.load();
-        self.renew_silent(&links, now);
+        self.reconnect_silent(&links, now);
         let others = links
             .values()
-            .filter(|link| link.is_well(self.suspect_after(), now));
-        let mut well: Vec<Name> = others.map(|link| link.name.clone()).collect();
-        if !self.draining.load(Ordering::Relaxed) || well.is_empty() {
-            well.push(self.me.name.clone());
+            .filter(|link| link.is_eligible(self.suspect_after(), now));
+        let mut candidates: Vec<Name> = others.map(|link| link.name.clone()).collect();
+        if !self.draining.load(Ordering::Relaxed) || candidates.is_empty() {
+            candidates.push(self.me.name.clone());
         }
-        well.sort();
-        let before = self.well.load_full();
-        if before.hosts == well {
+        candidates.sort();
+        let before = self.candidates.load_full();
+        if before.hosts == candidates {
             return None;
         }
-        let moves = before.moves(&well, |name| self.unfit(&links, name, now));
-        self.well.store(Arc::new(Well::of(well)));
-        Some(moves)
+        let changes = before.changes(&candidates, |name| self.ineligibility(&links, name, now));
+        self.candidates.store(Arc::new(Candidates::of(candidates)));
+        Some(changes)
     }
 
-    /// The home of a service's pool.
-    pub(crate) fn home_of(&self, service: &str) -> Name {
-        let home = self.well.load().home_of(service);
+    /// The home of a subject, such as a shard or an account.
+    pub(crate) fn home_of(&self, subject: &str) -> Name {
+        let home = self.candidates.load().home_of(subject);
         home.unwrap_or_else(|| self.me.name.clone())
     }
 
     /// The hosts that may be homes.
     pub(crate) fn homes(&self) -> Vec<Name> {
-        self.well.load().hosts.clone()
+        self.candidates.load().hosts.clone()
     }
 
-    /// Number of hosts that take callers, this one included.
+    /// Number of hosts that may be homes, which are those that accept callers.
     pub(crate) fn hosts(&self) -> u32 {
-        u32::try_from(self.well.load().hosts.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.candidates.load().hosts.len()).unwrap_or(u32::MAX)
     }
 
-    /// Time between two heartbeats on a link: the more hosts, the longer, so that what a host sends
-    /// to all others stays the same.
-    pub(super) fn heartbeat_every(&self) -> Duration {
+    /// Interval between heartbeats on a link. It grows with the number of hosts, so that a host sends no more in total.
+    pub(super) fn heartbeat_interval(&self) -> Duration {
         self.heartbeat.mul_f64(self.stretch())
     }
 
-    /// Silence after which a host is no longer given homes.
+    /// Silence after which a host may no longer be a home. It grows with the heartbeat interval.
     fn suspect_after(&self) -> Duration {
         self.suspect_after.mul_f64(self.stretch())
     }
 
-    /// How much longer than set heartbeats and suspicion take.
+    /// Factor by which the heartbeat interval and the suspicion timeout exceed their settings, at least 1.
     pub(crate) fn stretch(&self) -> f64 {
         (f64::from(self.known()) / f64::from(HOSTS_UNSTRETCHED)).max(1.0)
     }
 
-    /// The data centre of a host, where it is known.
+    /// The data centre of a host, if known.
     pub(crate) fn data_centre_of(&self, host: &Name) -> Option<Name> {
         if *host == self.me.name {
             return Some(self.me.data_centre.clone());
@@ -237,23 +240,23 @@
         links.get(host).map(|link| link.data_centre.clone())
     }
 
-    /// Number of hosts that are known, this one included, whether well or not.
+    /// Number of known hosts, this one included, whether they may be homes or not.
     pub(crate) fn known(&self) -> u32 {
         u32::try_from(self.peers.load().len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// Queues a message; one that cannot be queued is lost, as on a cut link.
+    /// Queues a message for a host; one that cannot be queued is lost, as on a broken link.
     pub(crate) fn send(&self, to: &Name, message: Message) {
         let links = self.peers.load();
         let Some(link) = links.get(to) else { return };
         if link.queue.len() < QUEUE_MAX {
-            // The channel is closed only when the link is gone, and the message with it.
+            // The channel is closed only once the link is gone; the message is lost then.
             let _ = link.queue.try_send(message);
         }
     }
 
-    /// Notes that a host was heard; tells whether this is a newer incarnation than was known.
-    pub(crate) fn heard(&self, from: &Name, incarnation: u64, now: Instant) -> bool {
+    /// Notes that a frame from a host has arrived; returns whether its incarnation is newer than the known one.
+    pub(crate) fn note_received(&self, from: &Name, incarnation: u64, now: Instant) -> bool {
         let links = self.peers.load();
         let Some(link) = links.get(from) else {
             return false;
@@ -269,12 +272,12 @@
                 ..View::default()
             };
         }
-        view.heard = Some(now);
+        view.last_received = Some(now);
         newer
     }
 
-    /// Notes what a heartbeat said.
-    pub(crate) fn heartbeat(&self, from: &Name, version: u64, draining: bool, cut_off: bool) {
+    /// Records the state of a host from its heartbeat.
+    pub(crate) fn note_heartbeat(&self, from: &Name, version: u64, draining: bool, cut_off: bool) {
         let links = self.peers.load();
         if let Some(link) = links.get(from) {
             let mut view = lock(&link.view);
@@ -284,15 +287,17 @@
         }
     }
 
-    /// The newest version that another host told of; 0 when none did.
+    /// The newest configuration version that another host has announced; 0 if there is none.
     pub(crate) fn newest_version(&self) -> u64 {
         let links = self.peers.load();
-        let told = links.values().map(|link| lock(&link.view).version);
-        told.max().unwrap_or(0)
+        let announced = links.values().map(|link| lock(&link.view).version);
+        announced.max().unwrap_or(0)
     }
 
-    /// The addresses of the hosts that told of a version above `version`, in the order in which to ask them: well ones
-    /// first, then those near, the rest by chance, so that many hosts that ask do not all ask the same.
+    /// The addresses of the hosts that have announced a version above `version`, in the order in which to ask them.
+    ///
+    /// Hosts that may be homes come first, and within both groups those of this data centre. The order is random beyond
+    /// that, so that many hosts that ask do not all ask the same one.
     pub(crate) fn ahead_of(&self, version: u64) -> Vec<SocketAddr> {
         let (links, now) = (self.peers.load(), Instant::now());
         let ahead = links
@@ -302,14 +307,15 @@
         fastrand::shuffle(&mut ahead);
         ahead.sort_by_key(|link| {
             let is_far = link.data_centre != self.me.data_centre;
-            (!link.is_well(self.suspect_after(), now), is_far)
+            (!link.is_eligible(self.suspect_after(), now), is_far)
         });
         ahead.into_iter().map(|link| link.address).collect()
     }
 
-    /// This host's place, for what only some do for all, among the well hosts that reach the
-    /// platform; the order is another for each `subject`. Those that do not reach it come last, in an order
-    /// of their own.
+    /// This host's rank for a task that a few hosts do for all, 0 being the first.
+    ///
+    /// The hosts that may be homes and reach the platform are ranked in an order that depends on `subject`. Hosts that
+    /// do not reach the platform come after them, in an order of their own.
     pub(crate) fn place_for(&self, subject: &str) -> usize {
         let links = self.peers.load();
         let is_cut_off = self.cut_off.load(Ordering::Relaxed);
@@ -317,34 +323,34 @@
             Some(link) => !lock(&link.view).cut_off,
             None => **name == self.me.name && !is_cut_off,
         };
-        let well = self.well.load();
-        let reaching: Vec<Name> = well.hosts.iter().filter(reaches).cloned().collect();
+        let candidates = self.candidates.load();
+        let reaching: Vec<Name> = candidates.hosts.iter().filter(reaches).cloned().collect();
         if is_cut_off {
-            // Where nobody reaches it, some still are to try for all, and not each host.
+            // If no host reaches the platform, a few still try for all, rather than every host.
             return reaching.len() + self.place_among_known(subject);
         }
         home::place(subject, &reaching, &self.me.name)
     }
 
-    /// The same among all hosts that are known, well or not.
+    /// The same rank among all known hosts, whether they may be homes or not.
     pub(crate) fn place_among_known(&self, subject: &str) -> usize {
         let known: Vec<Name> = self.peers.load().keys().cloned().collect();
         home::place(subject, &known, &self.me.name)
     }
 
-    /// Queues a message to every other host.
+    /// Queues a message for every other host.
     pub(crate) fn broadcast(&self, message: &Message) {
         for name in self.peers.load().keys() {
             self.send(name, message.clone());
         }
     }
 
-    /// This host's part of the limits that all hosts keep together.
+    /// This host's share of the limits that all hosts enforce together.
     pub(crate) fn share(&self, now: Instant) -> Share {
         let links = self.peers.load();
         let heard = links
             .values()
-            .filter(|link| link.is_heard(self.suspect_after(), now));
+            .filter(|link| link.has_received_within(self.suspect_after(), now));
         let heard = u32::try_from(heard.count() + 1).unwrap_or(u32::MAX);
         Share {
             heard,
@@ -352,7 +358,7 @@
         }
     }
 
-    /// Its part of the state dump.
+    /// The other hosts in the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Vec<dump::Peer> {
         let links = self.peers.load();
         let mut peers: Vec<dump::Peer> = links
@@ -365,7 +371,7 @@
                     state: link.state(self.suspect_after(), now).to_owned(),
                     incarnation: view.incarnation,
                     version: view.version,
-                    heard_ms_ago: view.heard.map(heard),
+                    heard_ms_ago: view.last_received.map(heard),
                 }
             })
             .collect();
--- a/cypressvane/src/transport/peers/links/silence_tests.rs
+++ b/cypressvane/src/transport/peers/links/silence_tests.rs
@@ -11,8 +11,8 @@
 /// Silence after which a host is suspected.
 const SUSPECT_MS: u64 = 2_000;
 
-/// A host that has just heard another one.
-fn hears_another(now: Instant) -> Arc<Links> {
+/// The links of a host that has just received a message from another one.
+fn links_to_one_host(now: Instant) -> Arc<Links> {
     let host = |name: &str| Host {
         name: name.into(),
         data_centre: "hut".into(),
@@ -40,74 +40,78 @@
         started_ms: None,
     };
     links.follow(&[entry]);
-    links.heard(&"host-1".into(), 1, now);
+    links.note_received(&"host-1".into(), 1, now);
     links.refresh(now);
     links
 }
 
 #[test]
-fn a_host_that_stood_still_has_not_seen_the_others_fall_silent() {
+fn a_host_that_was_suspended_does_not_take_the_others_for_silent() {
     struct Case {
         name: &'static str,
-        /// How long it stood still.
-        still_ms: u64,
-        /// Time awake after that, in which nothing is heard.
-        awake_ms: u64,
+        /// How long this host is suspended.
+        suspended_ms: u64,
+        /// Time after it resumes, in which nothing arrives.
+        silent_ms: u64,
         heard: u32,
-        struck_out: usize,
+        removed: usize,
     }
     let cases = [
         Case {
             name: "nothing happened",
-            still_ms: 0,
-            awake_ms: 100,
+            suspended_ms: 0,
+            silent_ms: 100,
             heard: 2,
-            struck_out: 0,
+            removed: 0,
         },
         Case {
             name: "the other falls silent",
-            still_ms: 0,
-            awake_ms: SUSPECT_MS,
+            suspended_ms: 0,
+            silent_ms: SUSPECT_MS,
             heard: 1,
-            struck_out: 1,
+            removed: 1,
         },
         Case {
-            name: "it stood still",
-            still_ms: 60_000,
-            awake_ms: 0,
+            name: "it was suspended",
+            suspended_ms: 60_000,
+            silent_ms: 0,
             heard: 2,
-            struck_out: 0,
+            removed: 0,
         },
         Case {
-            name: "it stood still, and the other is silent afterwards too",
-            still_ms: 60_000,
-            awake_ms: SUSPECT_MS,
+            name: "it was suspended, and the other is silent afterwards too",
+            suspended_ms: 60_000,
+            silent_ms: SUSPECT_MS,
             heard: 1,
-            struck_out: 1,
+            removed: 1,
         },
     ];
     for case in cases {
-        let began = Instant::now();
-        let links = hears_another(began);
-        let woke = began + Duration::from_millis(case.still_ms);
-        // Tasks may ask before the standstill is noticed.
+        let start = Instant::now();
+        let links = links_to_one_host(start);
+        let resumed = start + Duration::from_millis(case.suspended_ms);
+        // Tasks may ask before the suspension is detected.
         let silent = Duration::from_millis(SUSPECT_MS);
-        assert!(links.silent_for(silent, woke).is_empty(), "{}", case.name);
-        links.stood_still(Duration::from_millis(case.still_ms), woke);
-        let now = woke + Duration::from_millis(case.awake_ms);
+        assert!(
+            links.silent_for(silent, resumed).is_empty(),
+            "{}",
+            case.name
+        );
+        links.stood_still(Duration::from_millis(case.suspended_ms), resumed);
+        let now = resumed + Duration::from_millis(case.silent_ms);
         links.refresh(now);
         assert_eq!(links.share(now).heard, case.heard, "{}", case.name);
-        let struck_out = links.silent_for(silent, now).len();
-        assert_eq!(struck_out, case.struck_out, "{}", case.name);
+        let removed = links.silent_for(silent, now).len();
+        assert_eq!(removed, case.removed, "{}", case.name);
     }
 }
 
 #[test]
-fn a_link_is_doubted_once_and_then_more_seldom_until_it_was_good_for_a_while() {
-    /// When the link's connections were made, and when an ask went without a word.
+fn a_link_that_was_reconnected_is_reconnected_again_only_after_a_longer_time() {
+    /// A new connection of the link, or a message that went unanswered.
     enum Event {
         Connected,
-        /// And whether the link is made anew for it.
+        /// Whether the link is reconnected for it.
         Doubted(bool),
     }
     use Event::{Connected, Doubted};
@@ -118,30 +122,30 @@
         (300, Doubted(false)),
         (500, Doubted(true)),
         (510, Connected),
-        // The host may be behind with its work rather than unheard.
+        // The other host may be overloaded rather than cut off.
         (1_200, Doubted(false)),
         (4_500, Doubted(false)),
         (4_510, Doubted(true)),
         (4_520, Connected),
         (8_000, Doubted(false)),
-        // A connection that another cause has made, long after.
+        // A connection made for another reason, long after.
         (20_000, Connected),
         (20_500, Doubted(true)),
     ];
-    let began = Instant::now();
-    let links = hears_another(began);
+    let start = Instant::now();
+    let links = links_to_one_host(start);
     let peers = links.peers.load();
     let link = peers.values().next().expect("one other host");
-    // Nothing listens there; the test says what is connected.
+    // No server listens there; the test sets when the link is connected.
     *lock(&link.task) = None;
     *lock(&link.connected) = None;
     for (at, event) in events {
-        let now = began + Duration::from_millis(at);
+        let now = start + Duration::from_millis(at);
         match event {
             Connected => *lock(&link.connected) = Some(now),
-            Doubted(is_renewed) => {
+            Doubted(is_reconnected) => {
                 links.doubt(&link.name, now);
-                assert_eq!(link.take_doubt(), is_renewed, "at {at} ms");
+                assert_eq!(link.take_doubt(), is_reconnected, "at {at} ms");
             }
         }
     }
--- a/cypressvane/src/transport/peers/links/telling.rs
+++ b/cypressvane/src/transport/peers/links/telling.rs
@@ -1,4 +1,4 @@
-//! What heartbeats tell of this host.
+//! The contents of this host's heartbeats.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,38 +9,38 @@
 use crate::state::clock::Instant;
 
 impl Links {
-    /// Heartbeats tell this version from now on.
+    /// Sets the configuration version in the heartbeats.
     pub(crate) fn tell_version(&self, version: u64) {
         self.version.store(version, Ordering::Relaxed);
     }
 
-    /// Heartbeats tell from now on that this host is leaving.
+    /// Marks this host as leaving in the heartbeats.
     pub(crate) fn tell_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Heartbeats tell from now on whether the platform gives this host no answer.
+    /// Sets whether the heartbeats say that the platform does not answer this host.
     pub(crate) fn tell_cut_off(&self, cut_off: bool) {
         self.cut_off.store(cut_off, Ordering::Relaxed);
     }
 
-    /// Heartbeats tell from now on how far this host has read the host list itself.
+    /// Sets how far this host itself has read the host list, as the heartbeats say.
     pub(crate) fn tell_list_read(&self, read: Vec<u64>) {
         self.list_read.store(Arc::new(read));
     }
 
-    /// Heartbeats tell this digest of the rulings on requests from now on.
+    /// Sets the digest of the rulings in the heartbeats.
     pub(crate) fn tell_rulings(&self, digest: u64) {
         self.rulings.store(digest, Ordering::Relaxed);
     }
 
-    /// Heartbeats tell from now on that `version` was the newest at `stamp`, by the platform's clock.
+    /// Sets in the heartbeats that `version` was the newest at `stamp`, in milliseconds by the platform's clock.
     pub(crate) fn tell_confirmed(&self, version: u64, stamp: u64) {
         self.confirmed.store(Some(Arc::new((version, stamp))));
     }
 
-    /// What a heartbeat on a link says.
-    pub(super) fn beat(&self, link: &Link, batch: &mut Vec<Message>) {
+    /// Adds the heartbeat of a link to a batch.
+    pub(super) fn push_heartbeat(&self, link: &Link, batch: &mut Vec<Message>) {
         let version = self.version.load(Ordering::Relaxed);
         let confirmed = self.confirmed.load();
         let of_version = confirmed
@@ -52,7 +52,7 @@
             draining: self.draining.load(Ordering::Relaxed),
             cut_off: self.cut_off.load(Ordering::Relaxed),
             list_read: self.list_read.load().as_ref().clone(),
-            hears: link.is_heard(self.suspect_after(), Instant::now()),
+            hears: link.has_received_within(self.suspect_after(), Instant::now()),
             doubts: link.take_doubt(),
             rulings: self.rulings.load(Ordering::Relaxed),
         });
--- a/cypressvane/src/transport/peers/links/well.rs
+++ b/cypressvane/src/transport/peers/links/well.rs
@@ -1,29 +1,29 @@
-//! The hosts that may be homes, and how that changes.
+//! The hosts that may be homes, and the changes of this set.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
 use super::Links;
-use super::link::{Link, Unfit};
+use super::link::{Ineligibility, Link};
 use crate::coordination::home;
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 use crate::transport::runtime::lock;
 
-/// Most homes that are kept after they were looked up: 33,000 accounts are the plan's; those met lately
-/// find room, since each change of the hosts begins anew.
-const HOMES_MAX: usize = 16_384;
+/// Most cached homes. Sites are planned with 33,000 accounts; recently used ones find room, since the cache is emptied
+/// whenever the hosts change.
+const CACHED_HOMES_MAX: usize = 16_384;
 
-/// The hosts that may be homes, with the homes that were looked up among them.
+/// The hosts that may be homes, with a cache of the homes computed from them.
 #[derive(Debug, Default)]
-pub(super) struct Well {
-    /// Sorted.
+pub(super) struct Candidates {
+    /// Sorted by name.
     pub(super) hosts: Vec<Name>,
-    /// By subject: finding one takes a hash for each host.
+    /// Cached homes by subject, since computing one takes a hash for each host.
     homes: Mutex<HashMap<Name, Name>>,
 }
 
-impl Well {
+impl Candidates {
     pub(super) fn of(hosts: Vec<Name>) -> Self {
         Self {
             hosts,
@@ -31,21 +31,25 @@
         }
     }
 
-    /// The home of a subject; `None` when there are no hosts.
+    /// The home of a subject; `None` if there are no hosts.
     pub(super) fn home_of(&self, subject: &str) -> Option<Name> {
         let mut homes = lock(&self.homes);
         if let Some(home) = homes.get(subject) {
             return Some(home.clone());
         }
         let home = home::of(subject, &self.hosts)?.clone();
-        if homes.len() < HOMES_MAX {
+        if homes.len() < CACHED_HOMES_MAX {
             homes.insert(subject.into(), home.clone());
         }
         Some(home)
     }
 
-    /// What is otherwise in a later list, which is sorted too; `unfit` says why a host is not in it.
-    pub(super) fn moves(&self, later: &[Name], unfit: impl Fn(&Name) -> Unfit) -> Moves {
+    /// The changes to a later list, which is sorted too; `unfit` returns why a host is no longer in it.
+    pub(super) fn changes(
+        &self,
+        later: &[Name],
+        ineligibility: impl Fn(&Name) -> Ineligibility,
+    ) -> Moves {
         let lost = self
             .hosts
             .iter()
@@ -55,7 +59,9 @@
             .filter(|name| self.hosts.binary_search(name).is_err());
         Moves {
             gained: gained.cloned().collect(),
-            lost: lost.map(|name| (name.clone(), unfit(name))).collect(),
+            lost: lost
+                .map(|name| (name.clone(), ineligibility(name)))
+                .collect(),
         }
     }
 }
@@ -63,28 +69,28 @@
 /// A change of the hosts that may be homes.
 #[derive(Debug)]
 pub(crate) struct Moves {
-    /// Those that may be from now on.
+    /// Hosts that may be homes from now on.
     pub(crate) gained: Vec<Name>,
-    /// Those that may not be any more, and why.
-    pub(crate) lost: Vec<(Name, Unfit)>,
+    /// Hosts that may no longer be homes, and why.
+    pub(crate) lost: Vec<(Name, Ineligibility)>,
 }
 
 impl Links {
-    /// Why a host is no longer given homes.
-    pub(super) fn unfit(
+    /// Why a host may no longer be a home.
+    pub(super) fn ineligibility(
         &self,
         links: &HashMap<Name, Arc<Link>>,
         name: &Name,
         now: Instant,
-    ) -> Unfit {
+    ) -> Ineligibility {
         if *name == self.me.name {
-            return Unfit::Leaving;
+            return Ineligibility::Leaving;
         }
         let Some(link) = links.get(name) else {
-            return Unfit::Gone;
+            return Ineligibility::Gone;
         };
-        // Well again within the same look: it was silent until just now.
-        link.unfit(self.suspect_after(), now)
-            .unwrap_or(Unfit::Silent)
+        // The host has become eligible again since the list was made, so it was silent until just now.
+        link.ineligibility(self.suspect_after(), now)
+            .unwrap_or(Ineligibility::Silent)
     }
 }
--- a/cypressvane/src/transport/peers/mod.rs
+++ b/cypressvane/src/transport/peers/mod.rs
@@ -23,7 +23,7 @@
 use crate::transport::node::Node;
 use crate::transport::platform::roster;
 
-/// Answers the other hosts.
+/// Serves the other hosts.
 pub(crate) struct Peers {
     node: Arc<Node>,
     key: Key,
@@ -35,13 +35,13 @@
         Self { node, key }
     }
 
-    fn admits(&self, request: &Request) -> bool {
+    fn is_authorized(&self, request: &Request) -> bool {
         bearer(request).is_some_and(|presented| Key::of(presented).matches(&self.key))
             && header(request, PROTOCOL) == Some(message::VERSION)
     }
 
-    /// Takes in what a host says until the link ends.
-    async fn link(&self, mut request: Request) -> Response {
+    /// Handles the messages of a host until its link ends.
+    async fn serve_link(&self, mut request: Request) -> Response {
         let from = header(&request, HOST).map(Name::from);
         let incarnation = header(&request, INCARNATION).and_then(|text| text.parse().ok());
         let (Some(from), Some(incarnation)) = (from, incarnation) else {
@@ -49,18 +49,18 @@
         };
         while let Ok(messages) = read_frame(&mut request).await {
             let now = Instant::now();
-            if self.node.links.heard(&from, incarnation, now) {
+            if self.node.links.note_received(&from, incarnation, now) {
                 self.node.desk.forget(&from, incarnation, now);
-                self.node.desk.tell_limits(|home| *home == from, now);
+                self.node.desk.repeat_limits(|home| *home == from, now);
             }
             for message in messages {
-                self.take(&from, incarnation, message, now);
+                self.handle(&from, incarnation, message, now);
             }
         }
         answer::text(200, "")
     }
 
-    fn take(&self, from: &Name, incarnation: u64, message: Message, now: Instant) {
+    fn handle(&self, from: &Name, incarnation: u64, message: Message, now: Instant) {
         match message {
             Message::Heartbeat {
                 version,
@@ -74,24 +74,24 @@
             } => {
                 self.node.quarantine.compare(from, rulings, now);
                 self.node.roster.hear_of(&list_read);
-                self.hear_confirmed(version, confirmed);
+                self.handle_confirmation(version, confirmed);
                 let links = &self.node.links;
-                links.heartbeat(from, version, draining, cut_off);
+                links.note_heartbeat(from, version, draining, cut_off);
                 if doubts {
-                    links.renew_doubted(from, now);
+                    links.reconnect_doubted(from, now);
                 }
-                if links.note_hearing(from, hears, now) {
+                if links.note_reception(from, hears, now) {
                     slog::info!(
                         self.node.log, "another host hears nothing on its link, which is made anew";
                         "host" => &**from,
                     );
                 }
                 if version > self.node.version() {
-                    // A full channel means that the task is woken already.
+                    // A full channel means that the task has been notified already.
                     let _ = self.node.signals.nudge.try_send(());
                 }
             }
-            Message::Listed { news, back_ms } => self.hear_list(from, &news, back_ms, now),
+            Message::Listed { news, back_ms } => self.handle_list_change(from, &news, back_ms, now),
             Message::Charge {
                 sequence,
                 account,
@@ -124,29 +124,29 @@
                 .node
                 .rollouts
                 .hear_report(from, incarnation, &service, number, &report, now),
-            Message::RolloutWord(said) => {
-                self.node.rollouts.hear_word(&said, now);
+            Message::RolloutWord(word) => {
+                self.node.rollouts.hear_word(&word, now);
                 roster::follow_rollouts(&self.node);
             }
-            other => self.node.desk.take(from, incarnation, other, now),
+            other => self.node.desk.handle(from, incarnation, other, now),
         }
     }
 
-    /// Does something with an account of the version in force, if it has it.
+    /// Runs `work` on an account of the configuration in force, or logs that it has no such account.
     fn with_account(&self, from: &Name, account: &Name, work: impl FnOnce(&Account)) {
         let active = self.node.active();
         let known = active.as_ref();
         match known.and_then(|active| active.index.account_named(account)) {
             Some(account) => work(account),
             None => slog::info!(
-                self.node.log, "another host tells of an account that no version here has";
+                self.node.log, "another host names an account that the configuration in force lacks";
                 "host" => &**from, "account" => &**account, "version" => self.node.version(),
             ),
         }
     }
 
-    /// Another host has seen which version was the newest, and when.
-    fn hear_confirmed(&self, version: u64, confirmed: Option<u64>) {
+    /// Handles another host's confirmation that its version was the newest at a time by the platform's clock.
+    fn handle_confirmation(&self, version: u64, confirmed: Option<u64>) {
         let source = self.node.source.as_ref();
         let moment = source.zip(confirmed);
         let moment = moment.and_then(|(source, stamp)| source.moment(stamp));
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Another host has seen a change of the host list.
-    fn hear_list(&self, from: &Name, news: &[u8], back_ms: Option<u64>, now: Instant) {
+    /// Handles a change of the host list that another host has seen.
+    fn handle_list_change(&self, from: &Name, news: &[u8], back_ms: Option<u64>, now: Instant) {
         let back = back_ms.and_then(|ago| now.checked_sub(Duration::from_millis(ago)));
         if let Some(back) = back {
             self.node.note_platform_back(back);
@@ -171,7 +171,7 @@
         }
     }
 
-    async fn config(&self) -> Response {
+    async fn serve_config(&self) -> Response {
         let Some(active) = self.node.active() else {
             return self.reject(Reason::new(Code::NotReady, "no configuration is in force"));
         };
@@ -183,13 +183,13 @@
 impl Endpoint for Peers {
     async fn answer(&self, call: Call) -> Response {
         let request = call.request;
-        if !self.admits(&request) {
+        if !self.is_authorized(&request) {
             let message = "the peer key or the protocol version is wrong";
             return self.reject(Reason::new(Code::Unauthorized, message));
         }
         match (request.method(), request.url().path()) {
-            (Method::Post, LINK_PATH) => self.link(request).await,
-            (Method::Get, CONFIG_PATH) => self.config().await,
+            (Method::Post, LINK_PATH) => self.serve_link(request).await,
+            (Method::Get, CONFIG_PATH) => self.serve_config().await,
             _ => self.reject(Reason::new(Code::NotFound, "no such path")),
         }
     }
@@ -199,7 +199,7 @@
     }
 }
 
-/// Reads one frame.
+/// Reads one frame from the body of a link's request.
 async fn read_frame(request: &mut Request) -> Result<Vec<Message>, FrameError> {
     let mut length = [0; LENGTH_BYTES];
     request.read_exact(&mut length).await?;
@@ -211,10 +211,10 @@
 /// Why a link ends.
 #[derive(Debug, thiserror::Error)]
 enum FrameError {
-    /// The connection broke off or ended.
+    /// The connection broke or was closed.
     #[error(transparent)]
     Broken(#[from] std::io::Error),
-    /// The bytes are no frame.
+    /// The frame is too long or malformed.
     #[error(transparent)]
     Message(#[from] message::Error),
 }
--- a/cypressvane/src/transport/platform/follow.rs
+++ b/cypressvane/src/transport/platform/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the accepted configuration: from the table service, or from other hosts when it is out.
+//! Follows the accepted configuration: from the table service, or from other hosts while it is unavailable.
 //!
 //! Each version is a row of its own that is written once, so following means reading the row after
 //! the one in force. A stale read finds no row and does no harm.
@@ -19,15 +19,17 @@
 use crate::transport::node::Node;
 use crate::transport::runtime::within;
 
-/// Parts that a host which starts reads from the table service without asking other hosts first.
+/// Number of parts up to which a starting host reads the configuration from the table service as soon as it knows that
+/// no other host has a newer version.
 const FEW_PARTS: usize = 16;
-/// Shortest time for which a host which starts asks other hosts first.
-const PEERS_LEAST: Duration = Duration::from_secs(1);
-/// How much longer than that the most patient host asks.
-const PEERS_FIRST: Duration = Duration::from_secs(4);
-/// Rest between two rounds of asking them.
-const PEERS_POLL: Duration = Duration::from_millis(100);
-/// Follows for as long as the host runs; `nudges` wake it early.
+/// Longest time for which a starting host asks other hosts first if there are few parts.
+const PEERS_WAIT: Duration = Duration::from_secs(1);
+/// Longest additional time if there are many parts; each host takes a share of it by a hash of its name.
+const PEERS_WAIT_EXTRA: Duration = Duration::from_secs(4);
+/// Interval between two rounds of asking them.
+const PEERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Follows the configuration for as long as the host runs; `nudges` wake the task early.
 pub(crate) async fn run(node: Arc<Node>, nudges: Receiver<()>) {
     if let Some(source) = &node.source {
         source::follow(&node, source.as_ref(), &nudges).await;
@@ -38,17 +40,17 @@
             node.note_platform_failure("table");
             slog::warn!(node.log, "the configuration could not be followed"; "cause" => %error);
         }
-        // The table may be out, or may show what it had some time ago.
+        // The table service may be unavailable, or a read may be stale.
         fetch::newest(&node).await;
-        // Whether a nudge or the time ends the wait makes no difference.
+        // It makes no difference whether a nudge or the timeout ends the wait.
         let _ = within(node.config.platform.poll(), nudges.recv()).await;
     }
 }
 
-/// Puts in force all versions that the table service has above the one in force.
+/// Installs all versions that the table service has above the one in force.
 pub(crate) async fn advance(node: &Node) -> Result<(), Error> {
     if node.version() == 0 {
-        begin(node).await?;
+        bootstrap(node).await?;
     }
     while node.version() > 0 {
         let Some(record) = record(node, node.version() + 1).await? else {
@@ -61,9 +63,9 @@
     Ok(())
 }
 
-/// Puts the newest version in force on a host that has none, without those before it.
-async fn begin(node: &Node) -> Result<(), Error> {
-    let mut version = hint(node).await?;
+/// Installs the newest version on a host that has none, without the earlier ones.
+async fn bootstrap(node: &Node) -> Result<(), Error> {
+    let mut version = starting_version(node).await?;
     let Some(mut newest) = record(node, version).await? else {
         return Ok(());
     };
@@ -72,7 +74,7 @@
         newest = record;
     }
     let manifest = manifest(node, &newest).await?;
-    if learned_from_peers(node, newest.version, manifest.parts.len()).await {
+    if fetch_from_peers(node, newest.version, manifest.parts.len()).await {
         return Ok(());
     }
     let bundle = bundle(node, newest, manifest).await?;
@@ -80,39 +82,40 @@
     Ok(())
 }
 
-/// Asks the other hosts for the configuration on a host that has none; tells whether one gave it.
+/// Asks the other hosts for the configuration on a host that has none; returns whether it has one afterwards.
 ///
-/// A stale read of the table must not bring an old version back, so a host that starts hears first
-/// whether another has a newer one than `version`. Where there are many parts it waits longer, each
-/// host for another time, so that hosts which start together do not all read them from the table.
-async fn learned_from_peers(node: &Node, version: u64, parts: usize) -> bool {
+/// A stale read of the table must not bring an old version back, so a starting host first finds out whether another
+/// host has a newer version than `version`. With many parts it waits longer, each host for a different time, so that
+/// hosts that start together do not all read the parts from the table.
+async fn fetch_from_peers(node: &Node, version: u64, parts: usize) -> bool {
     let has_many = parts > FEW_PARTS;
     let name = digest::hex(node.config.host.name.as_bytes());
     let share = u32::from_str_radix(&name[..4], 16).unwrap_or(0);
-    let longer = if has_many {
-        PEERS_FIRST * share / u32::from(u16::MAX)
+    let extra = if has_many {
+        PEERS_WAIT_EXTRA * share / u32::from(u16::MAX)
     } else {
         Duration::ZERO
     };
-    let end = Instant::now() + PEERS_LEAST + longer;
+    let end = Instant::now() + PEERS_WAIT + extra;
     while node.version() == 0 && Instant::now() < end && node.links.expects_peers() {
         fetch::newest(node).await;
-        let none_is_ahead = node.links.hears_all() && node.links.newest_version() <= version;
+        let none_is_ahead =
+            node.links.has_received_from_all() && node.links.newest_version() <= version;
         if none_is_ahead && !has_many {
             break;
         }
-        Timer::after(PEERS_POLL).await;
+        Timer::after(PEERS_POLL_INTERVAL).await;
     }
     node.version() > 0
 }
 
-/// A version to begin with: the hint, or the first.
-async fn hint(node: &Node) -> Result<u64, Error> {
+/// The version to start from: the hint in the table, or the first one.
+async fn starting_version(node: &Node) -> Result<u64, Error> {
     let row = node.table.get(HINT_KEY).await?;
     Ok(row.and_then(|row| row.value.parse().ok()).unwrap_or(1))
 }
 
-/// Reads the record of a version; `None` when there is none yet.
+/// Reads the record of a version; `None` if it does not exist yet.
 pub(crate) async fn record(node: &Node, version: u64) -> Result<Option<Record>, Error> {
     let key = record_key(version);
     let row = node.table.get(&key).await?;
@@ -125,7 +128,7 @@
     })
 }
 
-/// Reads the parts of a version that this host does not have yet.
+/// Assembles a version; reads the parts that this host does not have yet.
 async fn bundle(node: &Node, record: Record, manifest: Manifest) -> Result<Bundle, Error> {
     let active = node.active();
     let mut texts = BTreeMap::new();
@@ -144,22 +147,22 @@
     })
 }
 
-/// The manifest of a version: worked out from the one before it, or read.
+/// The manifest of a version, derived from the version before it or read from the table.
 async fn manifest(node: &Node, record: &Record) -> Result<Manifest, Error> {
-    if let Some(manifest) = changed(node.active().as_deref(), record) {
+    if let Some(manifest) = derived_manifest(node.active().as_deref(), record) {
         return Ok(manifest);
     }
     Ok(Manifest::parse(&text(node, &record.manifest).await?)?)
 }
 
-/// The manifest of a version worked out from the one before it, where that is in force here.
-fn changed(active: Option<&Active>, record: &Record) -> Option<Manifest> {
+/// The manifest of a version derived from the version before it, if that one is in force here.
+fn derived_manifest(active: Option<&Active>, record: &Record) -> Option<Manifest> {
     let active = active.filter(|active| active.record.version + 1 == record.version)?;
     let manifest = active.manifest.with(record.changes.as_ref()?);
     (manifest.digest() == record.manifest).then_some(manifest)
 }
 
-/// Reads a text and checks that it is the one meant.
+/// Reads a text and verifies its digest.
 async fn text(node: &Node, digest: &str) -> Result<String, Error> {
     let key = text_key(digest);
     let Some(row) = node.table.get(&key).await? else {
