--- a/cypressvane/src/lib.rs
+++ b/cypressvane/src/lib.rs
@@ -1,15 +1,15 @@
-//! A request scheduler for unlike engines.
+//! A request scheduler for heterogeneous model engines and plain HTTP services.
 //!
-//! The library is arranged in layers, each using only those below it:
+//! The library is organized in layers; each layer uses only the layers below it:
 //!
-//! | layer | job |
+//! | layer | responsibility |
 //! | --- | --- |
-//! | `transport` | sockets: callers, backend servers, peers, platform, operators |
-//! | `protocol` | what is said: errors, request bodies, peer messages, dumps |
-//! | `coordination` | decisions, as plain values in and values out |
-//! | `state` | names, settings, fleet configuration, the platform's contract |
+//! | `transport` | network I/O with callers, backend servers, peers, the platform and operators |
+//! | `protocol` | message formats: errors, headers, request bodies, peer messages, state dumps |
+//! | `coordination` | scheduling decisions without I/O |
+//! | `state` | shared data types: names, settings, fleet configuration, platform interface |
 //!
-//! This root module lists everything that is public.
+//! This root module re-exports the whole public API.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
@@ -23,7 +23,7 @@
 mod transport;
 
 pub use crate::coordination::{backoff, budget, lapse, limit, policy, pool, shard};
-/// Roll-outs: what operators order and what is kept of one, and how they are decided.
+/// Roll-outs: the operators' orders, the stored progress and the decision logic.
 pub mod rollout {
     pub use crate::coordination::rollout::{Bounds, Report, Rollout, Shown, Tally, Word};
     pub use crate::state::rollout::{Order, Progress, Stage};
--- a/cypressvane/src/state/clock.rs
+++ b/cypressvane/src/state/clock.rs
@@ -1,41 +1,51 @@
-//! The one clock of the product: steady, and counting the time for which the machine was suspended.
+//! The monotonic clock used throughout; it includes time during which the machine was suspended.
 //!
-//! A lease, a limit or a caller's deadline runs on while a machine stands still. The system's usual steady clock
-//! does not count that time, so a host that wakes would believe what ran out long ago.
+//! Leases, limits and caller deadlines keep running while a machine is suspended. `std::time::Instant` does not
+//! count that time, so a resumed host would still treat values as valid that expired long ago.
 
 use std::time::Duration;
 
 pub use boot_time::Instant;
 
-/// How much time has passed since the last look, and how much of it the machine was suspended.
+/// Time elapsed since the previous measurement, and the part of it during which the machine was suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Lap {
     pub(crate) passed: Duration,
     pub(crate) suspended: Duration,
 }
 
-/// Measures laps on both clocks.
+/// Measures consecutive intervals on both clocks to detect suspension.
 #[derive(Debug)]
 pub(crate) struct Watch {
-    counting: Instant,
-    #[allow(clippy::disallowed_types, reason = "the other clock to compare with")]
-    steady: std::time::Instant,
+    with_suspension: Instant,
+    #[allow(
+        clippy::disallowed_types,
+        reason = "compared with the clock that includes suspension"
+    )]
+    without_suspension: std::time::Instant,
 }
 
 impl Watch {
-    #[allow(clippy::disallowed_types, reason = "the other clock to compare with")]
+    #[allow(
+        clippy::disallowed_types,
+        reason = "compared with the clock that includes suspension"
+    )]
     pub(crate) fn start() -> Self {
         Self {
-            counting: Instant::now(),
-            steady: std::time::Instant::now(),
+            with_suspension: Instant::now(),
+            without_suspension: std::time::Instant::now(),
         }
     }
 
-    /// The time since the last lap.
+    /// Returns the interval since the previous call, or since `start`, and begins a new one.
     pub(crate) fn lap(&mut self) -> Lap {
         let now = Self::start();
-        let passed = now.counting.saturating_duration_since(self.counting);
-        let awake = now.steady.saturating_duration_since(self.steady);
+        let passed = now
+            .with_suspension
+            .saturating_duration_since(self.with_suspension);
+        let awake = now
+            .without_suspension
+            .saturating_duration_since(self.without_suspension);
         *self = now;
         Lap {
             passed,
--- a/cypressvane/src/state/config/accounts.rs
+++ b/cypressvane/src/state/config/accounts.rs
@@ -1,27 +1,27 @@
-//! The section `[accounts]`: how exactly the limits of client accounts are kept.
+//! The section `[accounts]`: tolerances for enforcing the limits of client accounts.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// The span over which an account's limit is looked at, and by how much it may be missed.
+/// The window over which an account's limit is evaluated, and the tolerated deviation from it.
 ///
-/// Without a window an account has its rate and burst as they stand.
+/// Without a window, the account's rate and burst apply without a tolerance.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Accounts {
-    /// Any span of this length counts, in milliseconds; 0 for none.
+    /// Length of the sliding window in milliseconds; 0 for no window.
     pub window_ms: f64,
-    /// Part of the limit by which it may be missed.
+    /// Tolerated deviation, as a fraction of the limit.
     pub overage: f64,
-    /// Tokens, or requests where a limit counts these, by which it may be missed besides.
+    /// Additional tolerated deviation in tokens, or in requests for a limit on requests.
     pub slack: f64,
 }
 
 impl Accounts {
     pub(super) fn check(&self) -> Result<(), Error> {
-        within("accounts.overage", self.overage, 0.0, 1.0)?;
-        within("accounts.slack", self.slack, 0.0, 1e15)?;
-        within("accounts.window_ms", self.window_ms, 0.0, 3_600_000.0)
+        check_range("accounts.overage", self.overage, 0.0, 1.0)?;
+        check_range("accounts.slack", self.slack, 0.0, 1e15)?;
+        check_range("accounts.window_ms", self.window_ms, 0.0, 3_600_000.0)
     }
 }
--- a/cypressvane/src/state/config/engines.rs
+++ b/cypressvane/src/state/config/engines.rs
@@ -1,21 +1,21 @@
-//! The section `[engines]`: what is believed of model engines before they have answered.
+//! The section `[engines]`: initial estimates for model engines without observed responses, and placement costs.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// What is believed of a server that has not answered yet.
+/// Initial estimates for a server that has not responded yet, and placement costs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Belief {
-    /// Prompt tokens that it reads a second.
+    /// Prefill rate, in prompt tokens per second.
     pub prefill_rate: f64,
-    /// Time to the first token that a prompt takes however short it is.
+    /// Fixed part of the time to the first token, independent of the prompt's length.
     pub overhead: Duration,
-    /// Time that is given for a server in the holder's own data centre.
+    /// Additional time to the first token that is accepted to stay in the holder's own data centre.
     pub distance: Duration,
-    /// Time that is given for a server that has lately read what a prompt begins with.
+    /// Additional time to the first token that is accepted to use a server that recently processed the prompt's prefix.
     pub opening: Duration,
 }
 
@@ -30,20 +30,20 @@
     }
 }
 
-/// The same as it stands in the settings.
+/// The section `[engines]` of the settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Engines {
-    /// Prompt tokens that it reads a second.
+    /// Prefill rate, in prompt tokens per second.
     pub prefill_rate: u32,
-    /// Time from sending to the first token that a prompt takes however short it is, in
+    /// Fixed part of the time from sending a request to its first token, independent of the prompt's length, in
     /// milliseconds.
     pub overhead_ms: u64,
-    /// Time to the first token that is given for a server in the holder's own data centre, in
-    /// milliseconds: what crosses between data centres has its price.
+    /// Additional time to the first token that is accepted to stay in the holder's own data centre, in milliseconds;
+    /// it accounts for the cost of traffic between data centres.
     pub distance_ms: u64,
-    /// Time to the first token that is given for a server that has lately read what a prompt begins
-    /// with, in milliseconds.
+    /// Additional time to the first token that is accepted to use a server that recently processed the prompt's
+    /// prefix, in milliseconds.
     pub opening_ms: u64,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Engines {
-    /// What is believed of a server at first.
+    /// Returns the initial estimates as durations and rates.
     #[must_use]
     pub fn belief(&self) -> Belief {
         Belief {
@@ -71,9 +71,9 @@
     }
 
     pub(super) fn check(&self) -> Result<(), Error> {
-        within("engines.prefill_rate", self.prefill_rate, 50, 1_000_000)?;
-        within("engines.overhead_ms", self.overhead_ms, 0, 10_000)?;
-        within("engines.distance_ms", self.distance_ms, 0, 10_000)?;
-        within("engines.opening_ms", self.opening_ms, 0, 10_000)
+        check_range("engines.prefill_rate", self.prefill_rate, 50, 1_000_000)?;
+        check_range("engines.overhead_ms", self.overhead_ms, 0, 10_000)?;
+        check_range("engines.distance_ms", self.distance_ms, 0, 10_000)?;
+        check_range("engines.opening_ms", self.opening_ms, 0, 10_000)
     }
 }
--- a/cypressvane/src/state/config/host.rs
+++ b/cypressvane/src/state/config/host.rs
@@ -1,32 +1,32 @@
-//! The section `[host]`: who and where this host is.
+//! The section `[host]`: identity and location of this host.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 use crate::state::digest::Key;
 use crate::state::name::Name;
 
-/// Shortest key that hosts may share, in bytes.
+/// Minimum length of the shared peer key, in bytes.
 const PEER_KEY_BYTES_MIN: usize = 16;
 
-/// Who and where this host is.
+/// Identity and location of this host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Host {
     /// Unique name.
     pub name: Name,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: Name,
-    /// Its region.
+    /// Region of the host.
     pub region: Name,
-    /// The key that all hosts share, which proves them to each other.
+    /// Key shared by all hosts, with which they authenticate to each other.
     pub peer_key: String,
-    /// SHA-256 of a key that may submit the first configuration; of no use once there is one that
-    /// names operators. Where the configuration is kept elsewhere, the operators' key of this host.
+    /// SHA-256 of a key that may submit the first configuration; ignored once a configuration with operators is in
+    /// force. If the configuration is stored outside the table service, the operators' key of this host.
     #[serde(default)]
     pub bootstrap_key_sha256: Option<String>,
-    /// Worker threads; 0 takes one for each core.
+    /// Worker threads; 0 for one per core.
     ///
-    /// One thread carries more tokens than two share: see `docs/MEASUREMENTS.md`.
+    /// One thread handles more tokens than two threads that share the load: see `docs/MEASUREMENTS.md`.
     #[serde(default = "Host::default_threads")]
     pub threads: usize,
 }
@@ -59,6 +59,6 @@
                 allowed: "64 hexadecimal digits".to_owned(),
             });
         }
-        within("host.threads", self.threads as u64, 0, 256)
+        check_range("host.threads", self.threads as u64, 0, 256)
     }
 }
--- a/cypressvane/src/state/config/limits.rs
+++ b/cypressvane/src/state/config/limits.rs
@@ -1,20 +1,20 @@
-//! The section `[limits]`: bounds on what this host takes.
+//! The section `[limits]`: resource limits of this host.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// Bounds on what this host takes.
+/// Resource limits of this host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Largest whole answer that is held before it is passed on, in bytes.
+    /// Maximum size of a response that is buffered completely before it is forwarded, in bytes.
     pub answer_bytes: u64,
-    /// Most connections open at once on each listener.
+    /// Maximum number of open connections per listener.
     pub connections: u64,
-    /// Most requests waiting at once in a pool.
+    /// Maximum number of queued requests per pool.
     pub waiting: u64,
 }
 
@@ -31,9 +31,9 @@
 
 impl Limits {
     pub(super) fn check(&self) -> Result<(), Error> {
-        within("limits.body_bytes", self.body_bytes, 1, 256 << 20)?;
-        within("limits.answer_bytes", self.answer_bytes, 1, 1 << 30)?;
-        within("limits.connections", self.connections, 1, 1 << 20)?;
-        within("limits.waiting", self.waiting, 1, 1 << 20)
+        check_range("limits.body_bytes", self.body_bytes, 1, 256 << 20)?;
+        check_range("limits.answer_bytes", self.answer_bytes, 1, 1 << 30)?;
+        check_range("limits.connections", self.connections, 1, 1 << 20)?;
+        check_range("limits.waiting", self.waiting, 1, 1 << 20)
     }
 }
--- a/cypressvane/src/state/config/listeners.rs
+++ b/cypressvane/src/state/config/listeners.rs
@@ -1,29 +1,29 @@
-//! The section `[listeners]`: where this host listens.
+//! The section `[listeners]`: the addresses on which this host listens.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use serde::{Deserialize, Serialize};
 
-/// Port of the callers' listener.
+/// Default port of the callers' listener.
 const CALLERS_PORT: u16 = 8470;
-/// Port of the operators' listener.
+/// Default port of the operators' listener.
 const OPERATORS_PORT: u16 = 8471;
-/// Port of the peers' listener.
+/// Default port of the peers' listener.
 const PEERS_PORT: u16 = 8472;
 
-/// Where this host listens; port 0 takes a free port.
+/// The addresses on which this host listens; port 0 selects a free port.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Listeners {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For operators and their tools.
+    /// Listener for operators and their tools.
     pub operators: SocketAddr,
-    /// For the other hosts.
+    /// Listener for the other hosts.
     pub peers: SocketAddr,
-    /// Where other hosts reach the peers' listener, if that is not where it is bound.
+    /// Address at which other hosts reach the peers' listener, if it differs from the bound address.
     pub peers_public: Option<SocketAddr>,
-    /// For callers on routes, whose requests are passed on unchanged; none when absent.
+    /// Listener for requests on routes, which are forwarded unchanged; disabled when absent.
     pub routes: Option<SocketAddr>,
 }
 
--- a/cypressvane/src/state/config/logs.rs
+++ b/cypressvane/src/state/config/logs.rs
@@ -1,33 +1,33 @@
-//! The section `[logs]`: what this host logs.
+//! The section `[logs]`: log level, rate and destination.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// The least severe level that is logged.
+/// Minimum level of logged lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Only errors.
+    /// Errors only.
     Error,
     /// Warnings and above.
     Warning,
-    /// One line for each request, and above.
+    /// One line per request, and warnings and above.
     #[default]
     Info,
     /// Everything.
     Debug,
 }
 
-/// What this host logs, as JSON lines.
+/// Settings of the log, which is written as JSON lines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Logs {
-    /// The least severe level that is logged.
+    /// Minimum level of logged lines.
     pub level: Level,
-    /// Most lines a second; more are left out and counted in a line.
+    /// Maximum number of lines per second; excess lines are dropped, and a line reports their number.
     pub lines_per_second: u32,
-    /// Whether they go to standard error rather than standard output.
+    /// Whether lines are written to standard error instead of standard output.
     pub to_stderr: bool,
 }
 
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             level: Level::default(),
-            // A host's share of the plan is 75 requests a second, of at most a few lines each.
+            // The planned load of one host is 75 requests per second with at most a few lines each.
             lines_per_second: 500,
             to_stderr: false,
         }
@@ -44,7 +44,7 @@
 
 impl Logs {
     pub(super) fn check(&self) -> Result<(), Error> {
-        within(
+        check_range(
             "logs.lines_per_second",
             self.lines_per_second,
             10,
--- a/cypressvane/src/state/config/mod.rs
+++ b/cypressvane/src/state/config/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one host: one file a section, defaults in code.
+//! The settings of one host: one module per section, with defaults in code.
 
 mod accounts;
 mod engines;
@@ -31,56 +31,56 @@
 /// Everything a host reads from its settings file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Config {
-    /// Who and where this host is.
+    /// Identity and location of this host.
     pub host: Host,
-    /// Where it listens.
+    /// Listen addresses.
     #[serde(default)]
     pub listeners: Listeners,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Bounds on what it takes.
+    /// Resource limits.
     #[serde(default)]
     pub limits: Limits,
-    /// How long it waits.
+    /// Timeouts.
     #[serde(default)]
     pub timeouts: Timeouts,
-    /// What is believed of model engines at first.
+    /// Initial estimates for model engines, and placement costs.
     #[serde(default)]
     pub engines: Engines,
-    /// How exactly accounts' limits are kept.
+    /// Tolerances for enforcing accounts' limits.
     #[serde(default)]
     pub accounts: Accounts,
-    /// How often requests may be sent once more.
+    /// Retry budget.
     #[serde(default)]
     pub retries: Retries,
-    /// Requests under which backend servers end.
+    /// Quarantine of requests that terminate backend servers.
     #[serde(default)]
     pub quarantine: Quarantine,
-    /// How far new versions of services are tried.
+    /// Limits on the traffic of new versions under trial.
     #[serde(default)]
     pub rollouts: Rollouts,
-    /// What it logs.
+    /// Log settings.
     #[serde(default)]
     pub logs: Logs,
 }
 
-/// A setting outside its range.
+/// A setting is outside its range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {found} found, {allowed} allowed")]
 pub struct Error {
-    /// The key with its section, such as `limits.body_bytes`.
+    /// Key with its section, such as `limits.body_bytes`.
     pub key: &'static str,
-    /// What was found.
+    /// Value found.
     pub found: String,
-    /// What is allowed.
+    /// Values allowed.
     pub allowed: String,
 }
 
 impl Config {
-    /// Checks what the types alone cannot.
+    /// Validates the settings beyond what their types enforce.
     ///
     /// # Errors
-    /// Names the first key outside its range, what was found and what is allowed.
+    /// Reports the first key outside its range, with the value found and the values allowed.
     pub fn check(&self) -> Result<(), Error> {
         self.host.check()?;
         self.platform.check()?;
@@ -95,8 +95,8 @@
     }
 }
 
-/// Fails unless `found` lies between `least` and `most`, both included; what is no number lies in no range.
-fn within<T: Copy + PartialOrd + Display>(
+/// Fails unless `found` lies between `least` and `most`, both inclusive; NaN is outside every range.
+fn check_range<T: Copy + PartialOrd + Display>(
     key: &'static str,
     found: T,
     least: T,
--- a/cypressvane/src/state/config/platform.rs
+++ b/cypressvane/src/state/config/platform.rs
@@ -1,4 +1,4 @@
-//! The section `[platform]`: where the platform's services are.
+//! The section `[platform]`: addresses of the platform's services and how they are read.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,50 +6,50 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 use crate::state::name::Name;
 
-/// Where the platform's services are and how often they are read.
+/// Addresses of the platform's services, and how they are read.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Platform {
-    /// The table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// The host list.
+    /// Address of the host list.
     pub hosts: SocketAddr,
-    /// Time between two reads of the configuration's head row, in milliseconds.
+    /// Interval between reads of the configuration's head row, in milliseconds.
     #[serde(default = "Platform::default_poll_ms")]
     pub poll_ms: u64,
-    /// What the platform speaks.
+    /// Protocol of the platform.
     #[serde(default)]
     pub protocol: Protocol,
-    /// Longest time for which an account's key counts without word from the platform that the
-    /// configuration is still the newest, in milliseconds; 0 for no bound.
+    /// Lease of accounts' keys in milliseconds: how long they stay valid without a confirmation by the platform that
+    /// the configuration is still the newest; 0 for no limit.
     #[serde(default)]
     pub key_lease_ms: u64,
-    /// Most hosts that follow the host list closely and tell the others; 0 for all hosts.
+    /// Maximum number of hosts that watch the host list closely and forward changes to the others; 0 for all hosts.
     #[serde(default)]
     pub list_followers: usize,
-    /// The region of each data centre, where backend servers name only the latter.
+    /// Region of each data centre, used for backend servers that name only their data centre.
     #[serde(default)]
     pub regions: BTreeMap<Name, Name>,
 }
 
-/// What the platform speaks.
+/// Protocol of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Protocol {
-    /// The project's own, for small sites and tests.
+    /// The project's own protocol, for small sites and tests.
     #[default]
     Plain,
-    /// The users' own, through the adapter.
+    /// The users' platform protocol, through the adapter.
     Adapter,
 }
 
-/// Part of the lease of a key that is kept for answers under way and coarse clocks, in milliseconds.
+/// Safety margin subtracted from the key lease, in milliseconds; it covers responses in flight and coarse clocks.
 const KEY_LEASE_MARGIN_MS: u64 = 100;
 
 impl Platform {
-    /// A platform that speaks the project's own protocol at one address.
+    /// Creates the settings of a platform that serves the project's own protocol at one address.
     #[must_use]
     pub fn at(address: SocketAddr) -> Self {
         Self {
@@ -67,13 +67,13 @@
         1_000
     }
 
-    /// Time between two reads of the configuration's head row.
+    /// Returns the interval between reads of the configuration's head row.
     #[must_use]
     pub fn poll(&self) -> Duration {
         Duration::from_millis(self.poll_ms)
     }
 
-    /// Longest time for which a key counts unconfirmed; `None` for no bound.
+    /// Returns how long a key stays valid without confirmation, less the safety margin; `None` for no limit.
     #[must_use]
     pub fn key_lease(&self) -> Option<Duration> {
         let millis = self.key_lease_ms.saturating_sub(KEY_LEASE_MARGIN_MS);
@@ -81,6 +81,6 @@
     }
 
     pub(super) fn check(&self) -> Result<(), Error> {
-        within("platform.poll_ms", self.poll_ms, 50, 5_000)
+        check_range("platform.poll_ms", self.poll_ms, 50, 5_000)
     }
 }
--- a/cypressvane/src/state/config/quarantine.rs
+++ b/cypressvane/src/state/config/quarantine.rs
@@ -1,17 +1,17 @@
-//! The section `[quarantine]`: requests under which backend servers end.
+//! The section `[quarantine]`: handling of requests that terminate backend servers.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// When a request is kept from the backend servers, and for how long.
+/// When a request is quarantined, that is no longer sent to backend servers, and for how long.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Quarantine {
-    /// Servers that end under a request, one after the other and without a whole answer between, before it is
-    /// kept from all of them; 0 for never.
+    /// Number of servers that must terminate while running the request, one after the other and without a complete
+    /// response in between, before the request is quarantined; 0 disables the quarantine.
     pub ends: u64,
-    /// How long it is kept from them, and how long an end counts, in milliseconds.
+    /// Duration of the quarantine, and how long a server's termination is counted, in milliseconds.
     pub kept_ms: u64,
 }
 
@@ -30,10 +30,11 @@
             return Err(Error {
                 key: "quarantine.ends",
                 found: "1".to_owned(),
-                allowed: "0, or 2 to 60: one end says nothing of what ran there".to_owned(),
+                allowed: "0, or 2 to 60: a single termination does not implicate the request"
+                    .to_owned(),
             });
         }
-        within("quarantine.ends", self.ends, 0, 60)?;
-        within("quarantine.kept_ms", self.kept_ms, 1_000, 86_400_000)
+        check_range("quarantine.ends", self.ends, 0, 60)?;
+        check_range("quarantine.kept_ms", self.kept_ms, 1_000, 86_400_000)
     }
 }
--- a/cypressvane/src/state/config/retries.rs
+++ b/cypressvane/src/state/config/retries.rs
@@ -1,18 +1,18 @@
-//! The section `[retries]`: how often requests may be sent once more.
+//! The section `[retries]`: the budget for sending requests again.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// The fleet's budget for sending a service's requests to another server.
+/// Fleet-wide budget for retrying a service's requests on another server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Retries {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request, on average over the window.
     pub ratio: f64,
-    /// Repeats allowed in a window besides, over all hosts.
+    /// Additional retries allowed per window, summed over all hosts.
     pub spare: f64,
-    /// The window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_ms: f64,
 }
 
@@ -28,8 +28,8 @@
 
 impl Retries {
     pub(super) fn check(&self) -> Result<(), Error> {
-        within("retries.ratio", self.ratio, 0.0, 10.0)?;
-        within("retries.spare", self.spare, 0.0, 1_048_576.0)?;
-        within("retries.window_ms", self.window_ms, 100.0, 3_600_000.0)
+        check_range("retries.ratio", self.ratio, 0.0, 10.0)?;
+        check_range("retries.spare", self.spare, 0.0, 1_048_576.0)?;
+        check_range("retries.window_ms", self.window_ms, 100.0, 3_600_000.0)
     }
 }
--- a/cypressvane/src/state/config/rollouts.rs
+++ b/cypressvane/src/state/config/rollouts.rs
@@ -1,16 +1,16 @@
-//! The section `[rollouts]`: how far a new version of a service is tried before it is known to be good.
+//! The section `[rollouts]`: limits on the traffic of a new version before it is known to be good.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// The bound on the requests that a bad version may get.
+/// Upper bound on the requests that a faulty version may receive.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Rollouts {
-    /// Part of all requests of the service while its roll-out lasts.
+    /// Fraction of the service's requests during the roll-out.
     pub share: f64,
-    /// Requests besides, over all hosts.
+    /// Additional requests, summed over all hosts.
     pub slack: f64,
 }
 
@@ -25,7 +25,7 @@
 
 impl Rollouts {
     pub(super) fn check(&self) -> Result<(), Error> {
-        within("rollouts.share", self.share, 0.001, 0.5)?;
-        within("rollouts.slack", self.slack, 0.0, 1_048_576.0)
+        check_range("rollouts.share", self.share, 0.001, 0.5)?;
+        check_range("rollouts.slack", self.slack, 0.0, 1_048_576.0)
     }
 }
--- a/cypressvane/src/state/config/timeouts.rs
+++ b/cypressvane/src/state/config/timeouts.rs
@@ -1,40 +1,40 @@
-//! The section `[timeouts]`: how long this host waits.
+//! The section `[timeouts]`: timeouts and heartbeat intervals of this host.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use super::{Error, within};
+use super::{Error, check_range};
 
-/// Longest time-out that may be set, in milliseconds.
-const LONGEST_MS: u64 = 3_600_000;
+/// Maximum value of a timeout, in milliseconds.
+const TIMEOUT_MS_MAX: u64 = 3_600_000;
 
-/// How long this host waits, each in milliseconds.
+/// Timeouts and intervals of this host, all in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Timeouts {
-    /// How long a request may wait on a host that starts until a configuration is in force and the host
-    /// list was read: 10 to 35 ms while the platform answers.
+    /// How long a request may wait on a starting host until a configuration is in force and the host list and the
+    /// quarantine rulings have been read; that takes 10 to 35 ms while the platform responds.
     pub start_ms: u64,
-    /// From the first byte of a request to the end of its head.
+    /// Time from the first byte of a request to the end of its head.
     pub head_ms: u64,
-    /// From the head of a request to the end of its body.
+    /// Time from the end of a request's head to the end of its body.
     pub body_ms: u64,
-    /// How long a kept-alive connection may stay idle.
+    /// How long a keep-alive connection may stay idle.
     pub idle_ms: u64,
-    /// How long a reader may take no byte of its answer.
+    /// How long a client may accept no byte of a response.
     pub write_ms: u64,
     /// How long a backend server may take to accept a connection.
     pub connect_ms: u64,
-    /// How long a backend server may send nothing after it was given a request.
+    /// How long a backend server may send no data while it runs a request.
     pub silence_ms: u64,
-    /// How long after SIGTERM new connections are still taken, so that the balancer can notice.
+    /// How long new connections are still accepted after SIGTERM, so that the load balancer can detect the shutdown.
     pub grace_ms: u64,
-    /// How long after the grace waiting and running requests may take to finish.
+    /// How long queued and running requests may take to finish after the grace period.
     pub drain_ms: u64,
-    /// Time between two heartbeats to another host.
+    /// Interval between heartbeats to another host.
     pub heartbeat_ms: u64,
-    /// Silence after which a host is no longer given homes.
+    /// Time without heartbeats after which a host is suspected and no longer chosen as a home.
     pub suspect_ms: u64,
 }
 
@@ -57,23 +57,28 @@
 }
 
 impl Timeouts {
-    /// A time-out of this section as a duration.
+    /// Converts a timeout of this section to a duration.
     #[must_use]
     pub fn of(millis: u64) -> Duration {
         Duration::from_millis(millis)
     }
 
     pub(super) fn check(&self) -> Result<(), Error> {
-        within("timeouts.start_ms", self.start_ms, 0, LONGEST_MS)?;
-        within("timeouts.head_ms", self.head_ms, 1, LONGEST_MS)?;
-        within("timeouts.body_ms", self.body_ms, 1, LONGEST_MS)?;
-        within("timeouts.idle_ms", self.idle_ms, 1, LONGEST_MS)?;
-        within("timeouts.write_ms", self.write_ms, 1, LONGEST_MS)?;
-        within("timeouts.connect_ms", self.connect_ms, 1, LONGEST_MS)?;
-        within("timeouts.silence_ms", self.silence_ms, 1, LONGEST_MS)?;
-        within("timeouts.grace_ms", self.grace_ms, 0, LONGEST_MS)?;
-        within("timeouts.drain_ms", self.drain_ms, 0, LONGEST_MS)?;
-        within("timeouts.heartbeat_ms", self.heartbeat_ms, 10, LONGEST_MS)?;
-        within("timeouts.suspect_ms", self.suspect_ms, 20, LONGEST_MS)
+        check_range("timeouts.start_ms", self.start_ms, 0, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.head_ms", self.head_ms, 1, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.body_ms", self.body_ms, 1, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.idle_ms", self.idle_ms, 1, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.write_ms", self.write_ms, 1, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.connect_ms", self.connect_ms, 1, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.silence_ms", self.silence_ms, 1, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.grace_ms", self.grace_ms, 0, TIMEOUT_MS_MAX)?;
+        check_range("timeouts.drain_ms", self.drain_ms, 0, TIMEOUT_MS_MAX)?;
+        check_range(
+            "timeouts.heartbeat_ms",
+            self.heartbeat_ms,
+            10,
+            TIMEOUT_MS_MAX,
+        )?;
+        check_range("timeouts.suspect_ms", self.suspect_ms, 20, TIMEOUT_MS_MAX)
     }
 }
--- a/cypressvane/src/state/digest.rs
+++ b/cypressvane/src/state/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of keys and documents.
+//! SHA-256 digests of keys and documents.
 
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq as _;
@@ -12,18 +12,18 @@
     hex::encode(Sha256::digest(bytes))
 }
 
-/// The stored form of a bearer key, compared in constant time.
+/// SHA-256 digest of a bearer key; `matches` compares in constant time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Key([u8; DIGEST_BYTES]);
 
 impl Key {
-    /// Hashes a key as its bearer presents it.
+    /// Hashes a key in the form in which the client presents it.
     #[must_use]
     pub fn of(presented: &str) -> Self {
         Self(Sha256::digest(presented.as_bytes()).into())
     }
 
-    /// Reads a digest from hexadecimal; `None` unless it is 64 hexadecimal digits.
+    /// Parses a digest; `None` unless `text` is 64 hexadecimal digits.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let mut bytes = [0; DIGEST_BYTES];
@@ -31,7 +31,7 @@
         Some(Self(bytes))
     }
 
-    /// Tells whether two digests are the same, in constant time.
+    /// Returns whether two digests are equal, in constant time.
     #[must_use]
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
--- a/cypressvane/src/state/fingerprint.rs
+++ b/cypressvane/src/state/fingerprint.rs
@@ -1,39 +1,39 @@
-//! Tells whether two requests of callers are the same one, sent again.
+//! Request fingerprints, which identify repeated sendings of the same request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes that are kept of the digest: still too many to find another request with the same ones.
-const BYTES: usize = 16;
+/// Length of the truncated digest in bytes; 128 bits are still enough to make finding a collision infeasible.
+const DIGEST_BYTES: usize = 16;
 
-/// What makes a request the same, whichever attempt it is, whenever it comes and at whichever host.
+/// The properties that identify a request, independent of the attempt, its time and the receiving host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity<'a> {
-    /// The client account; `None` on a public route. Part of it, so that no account can have another's
-    /// request taken for its own.
+    /// The client account; `None` on a public route. It is part of the identity so that an account's request cannot
+    /// be mistaken for that of another account.
     pub account: Option<&'a str>,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that the caller named, without its port.
+    /// The host from the request, without the port.
     pub host: &'a str,
-    /// The path with its query.
+    /// The path with the query.
     pub target: &'a str,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// A digest of what makes a request the same.
+/// Truncated SHA-256 digest of a request's identity.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; DIGEST_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request; a body of a megabyte takes about a millisecond.
+    /// Computes the fingerprint of a request; this takes about 1 ms per megabyte of body.
     #[must_use]
     pub fn of(identity: &Identity<'_>) -> Self {
         let mut hasher = Sha256::new();
-        // No account is told from one without a name.
+        // Distinguishes a missing account from one with an empty name.
         hasher.update([u8::from(identity.account.is_some())]);
         let fields = [
             identity.account.unwrap_or_default().as_bytes(),
@@ -43,17 +43,17 @@
             identity.body,
         ];
         for field in fields {
-            // With its length ahead, no field can run into the next.
+            // The length prefix keeps bytes at a field boundary from shifting into the neighboring field.
             hasher.update((field.len() as u64).to_be_bytes());
             hasher.update(field);
         }
         let digest = hasher.finalize();
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&digest[..BYTES]);
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&digest[..DIGEST_BYTES]);
         Self(bytes)
     }
 
-    /// Its first bytes as a number.
+    /// Returns the first eight bytes as a big-endian number.
     #[must_use]
     pub fn prefix(&self) -> u64 {
         let mut bytes = [0; size_of::<u64>()];
@@ -61,10 +61,10 @@
         u64::from_be_bytes(bytes)
     }
 
-    /// Reads it from hexadecimal; `None` unless it is 32 hexadecimal digits.
+    /// Parses a fingerprint; `None` unless `text` is 32 hexadecimal digits.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; DIGEST_BYTES];
         hex::decode_to_slice(text, &mut bytes).ok()?;
         Some(Self(bytes))
     }
--- a/cypressvane/src/state/fingerprint_tests.rs
+++ b/cypressvane/src/state/fingerprint_tests.rs
@@ -1,6 +1,6 @@
 use super::{Fingerprint, Identity};
 
-const USUAL: Identity<'static> = Identity {
+const BASE: Identity<'static> = Identity {
     account: Some("rangers"),
     method: "POST",
     host: "leases.example",
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn each_part_of_a_request_tells_it_from_others() {
+fn each_part_of_a_request_changes_the_fingerprint() {
     struct Case {
         name: &'static str,
         other: Identity<'static>,
@@ -19,49 +19,49 @@
             name: "account",
             other: Identity {
                 account: Some("graziers"),
-                ..USUAL
+                ..BASE
             },
         },
         Case {
             name: "no account",
             other: Identity {
                 account: None,
-                ..USUAL
+                ..BASE
             },
         },
         Case {
             name: "an account without a name",
             other: Identity {
                 account: Some(""),
-                ..USUAL
+                ..BASE
             },
         },
         Case {
             name: "method",
             other: Identity {
                 method: "PUT",
-                ..USUAL
+                ..BASE
             },
         },
         Case {
             name: "host",
             other: Identity {
                 host: "tags.example",
-                ..USUAL
+                ..BASE
             },
         },
         Case {
             name: "query",
             other: Identity {
                 target: "/once/?a=2",
-                ..USUAL
+                ..BASE
             },
         },
         Case {
             name: "body",
             other: Identity {
                 body: b"asked ",
-                ..USUAL
+                ..BASE
             },
         },
         Case {
@@ -69,22 +69,22 @@
             other: Identity {
                 target: "/once/?a=1a",
                 body: b"sked",
-                ..USUAL
+                ..BASE
             },
         },
     ];
-    let mut seen = vec![Fingerprint::of(&USUAL)];
+    let mut seen = vec![Fingerprint::of(&BASE)];
     for case in cases {
         let found = Fingerprint::of(&case.other);
         assert!(!seen.contains(&found), "{}", case.name);
         seen.push(found);
     }
-    assert_eq!(Fingerprint::of(&USUAL), seen[0]);
+    assert_eq!(Fingerprint::of(&BASE), seen[0]);
 }
 
 #[test]
-fn what_is_written_is_read_again() {
-    let fingerprint = Fingerprint::of(&USUAL);
+fn parse_reverses_display() {
+    let fingerprint = Fingerprint::of(&BASE);
     let text = fingerprint.to_string();
     assert_eq!(Fingerprint::parse(&text), Some(fingerprint));
     assert_eq!(Fingerprint::parse(&text[1..]), None);
--- a/cypressvane/src/state/fleet/check.rs
+++ b/cypressvane/src/state/fleet/check.rs
@@ -1,4 +1,4 @@
-//! What makes a configuration right.
+//! Validation of the fleet configuration.
 
 use std::collections::HashSet;
 
@@ -6,18 +6,18 @@
 use crate::state::digest::Key;
 use crate::state::name::Name;
 
-/// Most tiers that a fleet may have.
+/// Maximum number of tiers.
 const TIERS_MAX: usize = 16;
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// Why a configuration is rejected.
+/// Reason for which a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The text is not a configuration document.
+    /// The text is not a valid configuration document.
     #[error("{0}")]
     Syntax(String),
-    /// A list that must have entries has none.
+    /// A list that needs at least one entry is empty.
     #[error("{0}: at least one entry is needed")]
     Empty(&'static str),
     /// A list has too many entries.
@@ -25,12 +25,12 @@
     TooMany {
         /// The list.
         list: &'static str,
-        /// Its entries.
+        /// Number of entries found.
         found: usize,
-        /// The limit.
+        /// Maximum number of entries.
         most: usize,
     },
-    /// A name is empty, too long, or has a character outside the allowed ones.
+    /// A name is empty, too long or contains a character that is not allowed.
     #[error("{list}: name {name:?}: 1 to 64 letters, digits, '-', '_' or '.' allowed")]
     Name {
         /// The list.
@@ -40,13 +40,13 @@
     },
     /// Two entries of a list have the same name or key.
     #[error("{list}: {name:?} stands twice")]
-    Twice {
+    Duplicate {
         /// The list.
         list: &'static str,
-        /// The name of the later entry.
+        /// Name of the later entry.
         name: Name,
     },
-    /// An entry names something that does not exist.
+    /// An entry refers to an object that does not exist.
     #[error("{list}: entry {entry:?} names {field} {name:?}, which does not exist")]
     Dangling {
         /// The list.
@@ -55,7 +55,7 @@
         entry: String,
         /// The field.
         field: &'static str,
-        /// What it names.
+        /// Name of the missing object.
         name: Name,
     },
     /// A digest is not 64 hexadecimal digits.
@@ -66,7 +66,7 @@
         /// The entry.
         name: Name,
     },
-    /// A number is outside its range.
+    /// A number that must be positive is zero.
     #[error("{list}: {name:?}: {field}: {found} found, at least 1 allowed")]
     Zero {
         /// The list.
@@ -75,26 +75,26 @@
         name: Name,
         /// The field.
         field: &'static str,
-        /// The number.
+        /// Value found.
         found: u64,
     },
 }
 
 impl Fleet {
-    /// Reads a configuration from TOML and checks it.
+    /// Parses a configuration from TOML and validates it.
     ///
     /// # Errors
-    /// Says which entry is wrong, what was found and what is allowed.
+    /// Reports the first invalid entry, with the value found and the values allowed.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let fleet: Self = toml::from_str(text).map_err(|error| Error::Syntax(error.to_string()))?;
         fleet.check()?;
         Ok(fleet)
     }
 
-    /// Checks everything but the policy programs, which `policy::Set` compiles.
+    /// Validates everything except the policy programs, which `policy::Set` compiles.
     ///
     /// # Errors
-    /// Says which entry is wrong, what was found and what is allowed.
+    /// Reports the first invalid entry, with the value found and the values allowed.
     pub fn check(&self) -> Result<(), Error> {
         if self.tiers.is_empty() {
             return Err(Error::Empty("tiers"));
@@ -260,16 +260,16 @@
 fn check_names<'a>(list: &'static str, names: impl Iterator<Item = &'a Name>) -> Result<(), Error> {
     let mut seen = HashSet::new();
     for name in names {
-        let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-        let sized = (1..=NAME_BYTES_MAX).contains(&name.len());
-        if !sized || !name.bytes().all(allowed) {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+        let is_valid_length = (1..=NAME_BYTES_MAX).contains(&name.len());
+        if !is_valid_length || !name.bytes().all(is_allowed) {
             return Err(Error::Name {
                 list,
                 name: name.clone(),
             });
         }
         if !seen.insert(name) {
-            return Err(Error::Twice {
+            return Err(Error::Duplicate {
                 list,
                 name: name.clone(),
             });
@@ -291,7 +291,7 @@
             });
         };
         if !seen.insert(key) {
-            return Err(Error::Twice {
+            return Err(Error::Duplicate {
                 list,
                 name: name.clone(),
             });
--- a/cypressvane/src/state/fleet/index.rs
+++ b/cypressvane/src/state/fleet/index.rs
@@ -1,4 +1,4 @@
-//! The look-ups of the request path.
+//! Indexes for lookups on the request path.
 
 use std::collections::HashMap;
 
@@ -7,10 +7,10 @@
 use crate::state::digest::Key;
 use crate::state::name::Name;
 
-/// A checked configuration with the look-ups of the request path.
+/// A validated configuration with indexes for lookups on the request path.
 #[derive(Debug)]
 pub struct Index {
-    /// What was checked.
+    /// The validated configuration.
     pub fleet: Fleet,
     accounts: HashMap<Key, usize>,
     account_names: HashMap<Name, usize>,
@@ -20,7 +20,7 @@
 }
 
 impl Index {
-    /// Builds the look-ups of a checked configuration; entries with a broken key are left out.
+    /// Builds the indexes of a validated configuration; accounts' keys that do not parse are skipped.
     #[must_use]
     pub fn new(fleet: Fleet) -> Self {
         let keys = fleet.accounts.iter().enumerate();
@@ -59,8 +59,8 @@
 
     /// Finds the account of a bearer key.
     ///
-    /// The map is keyed by digest, so its timing tells nothing about a key; the digests are then
-    /// compared in constant time.
+    /// The map is keyed by digest, so lookup timing reveals nothing about a key; the digests are then compared in
+    /// constant time.
     #[must_use]
     pub fn account(&self, presented: &str) -> Option<&Account> {
         let key = Key::of(presented);
@@ -91,7 +91,7 @@
         Some(&self.fleet.services[*index])
     }
 
-    /// Gives the rank and tier of a request: the first rule that matches, else its account's.
+    /// Returns the rank and tier of a request, from the first matching rule or else from its account.
     #[must_use]
     pub fn tier(&self, account: &Account, service: &Name, path: &str) -> (usize, &Tier) {
         let matches = |rule: &&Rule| {
@@ -114,17 +114,17 @@
         (rank, &self.fleet.tiers[rank])
     }
 
-    /// Finds the route of a request that names `host` and `path`.
+    /// Finds the route for a host and path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.find(&self.fleet.routes, host, path)
     }
 
-    /// Gives the rank and tier of a request on a route; a public route may have no account.
+    /// Returns the rank and tier of a request on a route; on a public route there may be no account.
     #[must_use]
     pub fn tier_on(&self, route: &Route, account: Option<&Account>) -> (usize, &Tier) {
-        let first = account.filter(|account| account.outranks_routes);
-        let name = first.map_or(&route.tier, |account| &account.tier);
+        let outranking = account.filter(|account| account.outranks_routes);
+        let name = outranking.map_or(&route.tier, |account| &account.tier);
         let rank = self.ranks.get(name).copied();
         let rank = rank.unwrap_or(self.fleet.tiers.len() - 1);
         (rank, &self.fleet.tiers[rank])
--- a/cypressvane/src/state/fleet/mod.rs
+++ b/cypressvane/src/state/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet configuration: tiers, client accounts, services, rules, policies and operators.
+//! The fleet configuration: tiers, client accounts, services, rules, policies, operators and routes.
 
 mod check;
 mod index;
@@ -12,30 +12,30 @@
 pub use index::Index;
 pub use route::{Method, Route, Split};
 
-/// The service kind and what is sent to it.
+/// Kind of a service, which determines how callers reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Model engines, reached through the completion calls.
+    /// Model engines, reached through the completion endpoints.
     Model,
-    /// A plain service, reached under `/services/NAME/`.
+    /// A plain HTTP service, reached under `/services/NAME/`.
     Plain,
 }
 
-/// A class of requests with a contract; tiers are listed from the highest.
+/// A priority class of requests with its service objectives; tiers are listed from the highest to the lowest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
     /// Unique name.
     pub name: Name,
-    /// Promised time to the first token, in milliseconds.
+    /// Target time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Promised time between tokens, in milliseconds.
+    /// Target time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// Longest time from arrival to the whole answer when the caller names none, in milliseconds.
+    /// Default deadline for requests without one: time from arrival to the complete response, in milliseconds.
     #[serde(default = "Tier::default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Whether a request whose first token is late already is refused rather than answered late.
+    /// Whether a request that has already missed its first-token target is refused instead of answered late.
     #[serde(default)]
     pub refuse_late: bool,
 }
@@ -46,7 +46,7 @@
     }
 }
 
-/// A client account and its limits over the whole fleet.
+/// A client account and its fleet-wide limits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
@@ -54,27 +54,27 @@
     pub name: Name,
     /// SHA-256 of the bearer key, in hexadecimal.
     pub key_sha256: String,
-    /// SHA-256 of each further bearer key, in hexadecimal.
+    /// SHA-256 of each additional bearer key, in hexadecimal.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub more_keys_sha256: Vec<String>,
-    /// The tier of its requests where no rule says otherwise.
+    /// Tier of its requests unless a rule matches.
     pub tier: Name,
-    /// Whether its tier goes before a route's.
+    /// Whether its tier takes precedence over a route's tier.
     #[serde(default)]
     pub outranks_routes: bool,
-    /// Requests a second; no limit when absent.
+    /// Limit on requests per second; unlimited when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_second: Option<u32>,
-    /// Prompt and answer tokens a second; no limit when absent.
+    /// Limit on prompt and answer tokens per second; unlimited when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens_per_second: Option<u32>,
-    /// Tokens that may be spent at once beyond the rate; one second of the rate when absent.
+    /// Burst size in tokens; one second's worth of the rate when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub burst_tokens: Option<u32>,
-    /// Tokens that a request counts which names none; 1 when absent.
+    /// Tokens charged for a request that does not state a number; 1 when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub plain_tokens: Option<u32>,
-    /// Requests waiting or running at once; no limit when absent.
+    /// Limit on concurrent requests, queued or running; unlimited when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub in_flight: Option<u32>,
 }
@@ -83,28 +83,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Unique name; a caller gives it as `model` or in the path.
+    /// Unique name; callers pass it as `model` or in the path.
     pub name: Name,
-    /// What is sent to it.
+    /// Kind of the service.
     pub kind: Kind,
-    /// Whether running a request twice is harmless; otherwise each request is claimed first.
+    /// Whether a request may safely run twice; if not, each request is claimed before it runs.
     #[serde(default = "Service::default_idempotent")]
     pub idempotent: bool,
-    /// The policy of its requests; tier order alone when absent.
+    /// Policy that orders its requests; tier order alone when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub policy: Option<Name>,
-    /// Most requests that one backend server runs at once.
+    /// Maximum number of concurrent requests per backend server.
     #[serde(default = "Service::default_slots")]
     pub slots: u32,
 }
 
 impl Account {
-    /// The digests of all its keys.
+    /// Returns the digests of all its keys, in hexadecimal.
     pub fn keys(&self) -> impl Iterator<Item = &String> {
         std::iter::once(&self.key_sha256).chain(&self.more_keys_sha256)
     }
 
-    /// Whether it has a limit over time.
+    /// Returns whether it has a rate limit.
     #[must_use]
     pub fn has_rate(&self) -> bool {
         self.requests_per_second.is_some() || self.tokens_per_second.is_some()
@@ -121,20 +121,20 @@
     }
 }
 
-/// Gives the requests that match it another tier; the first match counts.
+/// Assigns a tier to the requests that match it; the first matching rule applies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Only requests of this account.
+    /// Matches requests of this account; any account when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<Name>,
-    /// Only requests to this service.
+    /// Matches requests to this service; any service when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<Name>,
-    /// Only requests whose path below the service begins so.
+    /// Matches requests whose path below the service starts with this prefix; any path when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub path_prefix: Option<String>,
-    /// The tier that they get.
+    /// Tier assigned to matching requests.
     pub tier: Name,
 }
 
@@ -144,11 +144,11 @@
 pub struct Policy {
     /// Unique name.
     pub name: Name,
-    /// The source of the program.
+    /// Source code of the program.
     pub program: String,
 }
 
-/// Somebody who may submit configuration.
+/// A person or tool that may submit configurations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
@@ -158,29 +158,29 @@
     pub key_sha256: String,
 }
 
-/// The whole configuration, as operators submit it.
+/// The complete fleet configuration, as operators submit it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// From the highest to the lowest.
+    /// Tiers, from the highest to the lowest.
     #[serde(default)]
     pub tiers: Vec<Tier>,
-    /// In any order.
+    /// Client accounts, in any order.
     #[serde(default)]
     pub accounts: Vec<Account>,
-    /// In any order.
+    /// Services, in any order.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// The first match counts.
+    /// Tier rules; the first match applies.
     #[serde(default)]
     pub rules: Vec<Rule>,
-    /// In any order.
+    /// Policy programs, in any order.
     #[serde(default)]
     pub policies: Vec<Policy>,
-    /// In any order.
+    /// Operators, in any order.
     #[serde(default)]
     pub operators: Vec<Operator>,
-    /// In any order; the longest prefix counts.
+    /// Routes, in any order; the longest matching prefix applies.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<Route>,
 }
--- a/cypressvane/src/state/fleet/route.rs
+++ b/cypressvane/src/state/fleet/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests go to which service, and under which contract.
+//! Routes, which map requests to services by host and path and set their objectives and retry rules.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -8,88 +8,88 @@
 
 use crate::state::name::Name;
 
-/// What may be done with a request whose answer did not come whole.
+/// Retry semantics of a route's requests after an incomplete response; unrelated to the HTTP method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Method {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It may run at most once.
+    /// The request may run at most once.
     NonIdempotent,
-    /// Its answer is a stream of numbered events; it may run at most once.
+    /// The response is a stream of numbered events; the request may run at most once.
     Stream,
-    /// Its answer is a stream of numbered events that another server can take up after any of them.
+    /// The response is a stream of numbered events that another server can resume after any event.
     ResumableStream,
 }
 
 impl Method {
-    /// Whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Whether a request that may have run may be sent to another server.
+    /// Returns whether a request that may have run may be retried on another server.
     #[must_use]
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// A service's part of a route.
+/// A service's share of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Split {
     /// The service.
     pub service: Name,
-    /// Its part of the sum of all weights.
+    /// Weight relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// Requests that are passed on unchanged, found by host and path.
+/// A rule by which requests for a host and path are forwarded unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Unique name.
     pub name: Name,
-    /// The host that requests name, in lower case.
+    /// Host of matching requests, in lower case.
     pub host: String,
-    /// How their path begins; the longest match counts.
+    /// Path prefix of matching requests; the longest match applies.
     pub prefix: String,
-    /// The services that serve it.
+    /// Services that share the traffic, by weight.
     pub splits: Vec<Split>,
-    /// What may be repeated.
+    /// Retry semantics of the requests.
     pub method: Method,
-    /// The tier of requests whose account has none that goes first.
+    /// Tier of requests, unless their account's tier takes precedence (`Account::outranks_routes`).
     pub tier: Name,
-    /// Time within which an answer, or the first event of a stream, is worth most, in milliseconds.
+    /// Latency objective for a response, or for the first event of a stream, in milliseconds.
     pub objective_ms: u64,
-    /// Longest pause between the events of a stream that is still on time, in milliseconds.
+    /// Maximum pause between events of a stream that still counts as on time, in milliseconds.
     #[serde(default)]
     pub gap_ms: u64,
-    /// Longest time to the whole answer, in milliseconds.
+    /// Maximum time to the complete response, in milliseconds.
     pub timeout_ms: u64,
-    /// Most backend servers that one request is sent to.
+    /// Maximum number of backend servers to which one request is sent.
     pub attempts: u32,
-    /// Whether callers need no key.
+    /// Whether the route is open to callers without a key.
     #[serde(default)]
     pub public: bool,
 }
 
 impl Route {
-    /// Time within which an answer is worth most.
+    /// Returns the latency objective.
     #[must_use]
     pub fn objective(&self) -> Duration {
         Duration::from_millis(self.objective_ms)
     }
 
-    /// Longest time to the whole answer.
+    /// Returns the maximum time to the complete response.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// The service at `point`, a number from 0 to 1 that spreads requests by weight.
+    /// Selects a service by weight; `point` is a uniformly distributed number from 0 to 1.
     #[must_use]
     pub fn service_at(&self, point: f64) -> Option<&Name> {
         let total: f64 = self
@@ -97,22 +97,22 @@
             .iter()
             .map(|split| f64::from(split.weight))
             .sum();
-        let mut left = point * total;
+        let mut remaining = point * total;
         for split in &self.splits {
-            left -= f64::from(split.weight);
-            if left < 0.0 {
+            remaining -= f64::from(split.weight);
+            if remaining < 0.0 {
                 return Some(&split.service);
             }
         }
-        let weighted = self.splits.iter().rev().find(|split| split.weight > 0);
-        weighted.map(|split| &split.service)
+        let last_weighted = self.splits.iter().rev().find(|split| split.weight > 0);
+        last_weighted.map(|split| &split.service)
     }
 }
 
-/// Looks routes up by host and path.
+/// Index of routes by host and path.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
-    /// For each host, its routes from the longest prefix on.
+    /// Indexes of the routes of each host, sorted from the longest to the shortest prefix.
     by_host: HashMap<String, Vec<usize>>,
 }
 
@@ -128,7 +128,7 @@
         Self { by_host }
     }
 
-    /// The route of a host and path.
+    /// Returns the route with the longest prefix that matches a host and path.
     pub(crate) fn find<'a>(
         &self,
         routes: &'a [Route],
--- a/cypressvane/src/state/manifest.rs
+++ b/cypressvane/src/state/manifest.rs
@@ -1,9 +1,9 @@
-//! A fleet configuration cut into parts, so that a change moves only the parts it touches.
+//! A fleet configuration split into parts, so that a change transfers only the parts that it affects.
 //!
-//! Accounts are spread over a fixed number of shards by the digest of their name; everything else
-//! is one part. A part is stored once under its digest, a manifest lists the digests, and the record
-//! of a version names the manifest. Sources: 33,000 accounts of about 150 bytes and 5,600 changes a day
-//! would cost each host 320 KB/s if every change moved the whole document.
+//! Accounts are distributed over a fixed number of shards by the digest of their name; everything else is one part. A
+//! part is stored once under its digest, a manifest lists the digests, and the record of a version refers to the
+//! manifest. With 33,000 accounts of about 150 bytes and 5,600 changes a day, transferring the whole document for each
+//! change would cost each host 320 KB/s.
 
 use std::collections::BTreeMap;
 
@@ -12,109 +12,109 @@
 use crate::state::digest;
 use crate::state::fleet::{Account, Fleet};
 
-/// Number of account shards; of 33,000 accounts a change then moves about 32.
+/// Number of account shards; with 33,000 accounts, a change to one transfers about 32.
 const SHARDS: u16 = 1_024;
-/// Name of the part that holds everything but the accounts.
+/// Name of the part that contains everything except the accounts.
 const CORE: &str = "core";
 
-/// The key of the row that holds a recent version, where a new host begins to look.
+/// Key of the row with a recent version number, from which a new host starts its search for the newest version.
 pub(crate) const HINT_KEY: &str = "config/hint";
 
-/// The key of a version's record.
+/// Returns the key of a version's record.
 pub(crate) fn record_key(version: u64) -> String {
     format!("config/version/{version}")
 }
 
-/// The key of a manifest's or part's text.
+/// Returns the key of the text of a manifest or part.
 pub(crate) fn text_key(digest: &str) -> String {
     format!("config/text/{digest}")
 }
 
-/// The row of one accepted version; it is written once and never changed.
+/// Record of one accepted version; its row is written once and never changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Grows by one with each accepted submission.
+    /// Version number; increases by one with each accepted submission.
     pub version: u64,
     /// Digest of the manifest.
     pub manifest: String,
-    /// Unique for each submission; tells a writer that lost its answer whether it won.
+    /// Unique for each submission; lets a writer whose write response was lost detect whether its write succeeded.
     pub submission: String,
-    /// The operator.
+    /// Operator who submitted it.
     pub author: String,
-    /// When it was accepted, in seconds since the Unix epoch.
+    /// Time of acceptance, in seconds since the Unix epoch.
     pub accepted_at: u64,
-    /// The parts that differ from the version before, so that who has that one need not read the
-    /// manifest; `None` where the writer did not have it.
+    /// Changes from the previous version, so that hosts that have it need not read the manifest; `None` if the writer
+    /// did not have the previous version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub changes: Option<Changes>,
 }
 
-/// The parts that differ from one version to the next.
+/// Parts that differ between two versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Digest by name of each part that is new or altered.
+    /// Digest of each added or modified part, by name.
     pub put: BTreeMap<String, String>,
-    /// Names of the parts that are gone.
+    /// Names of the removed parts.
     pub gone: Vec<String>,
 }
 
-/// The digests of the parts.
+/// The digests of a version's parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Digest by part name.
+    /// Digest of each part, by name.
     pub parts: BTreeMap<String, String>,
 }
 
-/// A configuration cut into parts, ready to be stored.
+/// A configuration split into parts, ready to be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cut {
-    /// The digests.
+    /// Digests of the parts.
     pub manifest: Manifest,
-    /// Each part's text by its digest.
+    /// Text of each part, by digest.
     pub texts: BTreeMap<String, String>,
 }
 
-/// A whole version, as one host gives it to another.
+/// A complete version, as one host transfers it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
-    /// The version.
+    /// Record of the version.
     pub record: Record,
-    /// The digests.
+    /// Digests of the parts.
     pub manifest: Manifest,
-    /// Each part's text by its digest.
+    /// Text of each part, by digest.
     pub texts: BTreeMap<String, String>,
 }
 
-/// Why parts cannot be put together.
+/// Reason for which a manifest or its parts cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A part is not what its digest says.
+    /// A part does not match its digest.
     #[error("part {0} does not match its digest")]
     Digest(String),
     /// A part is missing.
     #[error("part {0} is missing")]
     Missing(String),
-    /// A part does not parse.
+    /// A part or the manifest does not parse.
     #[error("part {name}: {source}")]
     Syntax {
-        /// The part.
+        /// Name of the part.
         name: String,
-        /// What the parser said.
+        /// Error of the parser.
         source: serde_json::Error,
     },
 }
 
 impl Manifest {
-    /// The manifest as text.
+    /// Serializes the manifest to JSON.
     #[must_use]
     pub fn text(&self) -> String {
         to_text(self)
     }
 
-    /// Reads a manifest.
+    /// Parses a manifest.
     ///
     /// # Errors
-    /// Fails when the text is no manifest.
+    /// Fails if the text is not a valid manifest.
     pub fn parse(text: &str) -> Result<Self, Error> {
         serde_json::from_str(text).map_err(|source| Error::Syntax {
             name: "manifest".to_owned(),
@@ -122,19 +122,19 @@
         })
     }
 
-    /// The digest of the manifest.
+    /// Returns the digest of the manifest's JSON form.
     #[must_use]
     pub fn digest(&self) -> String {
         digest::hex(self.text().as_bytes())
     }
 
-    /// What differs from an earlier manifest.
+    /// Returns the changes from an earlier manifest to this one.
     #[must_use]
     pub fn changes_from(&self, earlier: &Self) -> Changes {
         let is_new =
             |(name, digest): &(&String, &String)| earlier.parts.get(*name) != Some(*digest);
         let put = self.parts.iter().filter(is_new);
-        let gone = earlier
+        let removed = earlier
             .parts
             .keys()
             .filter(|name| !self.parts.contains_key(*name));
@@ -142,11 +142,11 @@
             put: put
                 .map(|(name, digest)| (name.clone(), digest.clone()))
                 .collect(),
-            gone: gone.cloned().collect(),
+            gone: removed.cloned().collect(),
         }
     }
 
-    /// The manifest that `changes` make of this one.
+    /// Returns this manifest with `changes` applied.
     #[must_use]
     pub fn with(&self, changes: &Changes) -> Self {
         let mut parts = self.parts.clone();
@@ -157,10 +157,10 @@
         Self { parts }
     }
 
-    /// Puts the parts together; `texts` holds each by its digest.
+    /// Assembles the configuration from its parts; `texts` maps digests to texts.
     ///
     /// # Errors
-    /// Fails when a part is missing, altered or does not parse.
+    /// Fails if a part is missing, does not match its digest or does not parse.
     pub fn join(&self, texts: &BTreeMap<String, String>) -> Result<Fleet, Error> {
         let mut fleet = Fleet::default();
         let mut accounts: Vec<Account> = Vec::new();
@@ -171,14 +171,14 @@
             if digest::hex(text.as_bytes()) != *digest {
                 return Err(Error::Digest(name.clone()));
             }
-            let syntax = |source| Error::Syntax {
+            let syntax_error = |source| Error::Syntax {
                 name: name.clone(),
                 source,
             };
             if name == CORE {
-                fleet = serde_json::from_str(text).map_err(syntax)?;
+                fleet = serde_json::from_str(text).map_err(syntax_error)?;
             } else {
-                let shard: Vec<Account> = serde_json::from_str(text).map_err(syntax)?;
+                let shard: Vec<Account> = serde_json::from_str(text).map_err(syntax_error)?;
                 accounts.extend(shard);
             }
         }
@@ -188,7 +188,7 @@
 }
 
 impl Cut {
-    /// Cuts a configuration into parts.
+    /// Splits a configuration into parts.
     #[must_use]
     pub fn new(fleet: &Fleet) -> Self {
         let mut shards: BTreeMap<u16, Vec<&Account>> = BTreeMap::new();
@@ -214,7 +214,7 @@
         cut
     }
 
-    /// All rows of a version, the record last: once it stands, the version is accepted.
+    /// Returns all rows of a version, the record last: writing the record accepts the version.
     #[must_use]
     pub fn rows(&self, record: &Record) -> Vec<(String, String)> {
         let texts = self
@@ -233,13 +233,14 @@
     }
 }
 
-/// Writes a value whose types always have a JSON form.
+/// Serializes a value whose type always has a JSON form.
 fn to_text<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value).expect("plain values have a JSON form")
 }
 
+/// Returns the shard of an account, by the digest of its name.
 fn shard(name: &str) -> u16 {
-    /// Hexadecimal digits that give 16 bits.
+    /// Number of hexadecimal digits in 16 bits.
     const DIGITS: usize = 4;
     let digest = digest::hex(name.as_bytes());
     let bits = u16::from_str_radix(&digest[..DIGITS], 16).expect("a digest is hexadecimal");
--- a/cypressvane/src/state/mod.rs
+++ b/cypressvane/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a host knows: names, settings, fleet configuration, the platform's contract, reasons of refusal.
+//! Data types shared by all layers: names, settings, fleet configuration, platform interface, refusal reasons.
 
 pub mod clock;
 pub mod config;
--- a/cypressvane/src/state/name.rs
+++ b/cypressvane/src/state/name.rs
@@ -1,6 +1,6 @@
-//! Shared immutable strings for names.
+//! Reference-counted immutable strings for names.
 
 use std::sync::Arc;
 
-/// A name that is cloned often and never changed: of a tier, account, service, host or server.
+/// Name of a tier, account, service, host or server; an `Arc` because names are cloned often and never modified.
 pub type Name = Arc<str>;
--- a/cypressvane/src/state/order.rs
+++ b/cypressvane/src/state/order.rs
@@ -1,10 +1,10 @@
-//! Orders to backend servers, and the row that keeps them apart.
+//! Orders to backend servers, and the table row that stores the newest order of each server.
 
 use serde::{Deserialize, Serialize};
 
 use crate::state::name::Name;
 
-/// What is loaded or unloaded.
+/// Kind of object that an order loads or unloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -16,65 +16,65 @@
     Version,
 }
 
-/// An order to a backend server; carrying one out twice changes nothing.
+/// An order to a backend server; executing it is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum Order {
-    /// Load something.
+    /// Loads a model, adapter or version.
     Load {
-        /// What it is.
+        /// Kind of the object.
         kind: Kind,
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
-    /// Unload something.
+    /// Unloads a model, adapter or version.
     Unload {
-        /// What it is.
+        /// Kind of the object.
         kind: Kind,
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
-    /// Take a role, such as prefill or decode.
+    /// Assigns a role, such as prefill or decode.
     Role {
-        /// The role.
+        /// Name of the role.
         name: String,
     },
 }
 
-/// An order with the number that makes it the newest.
+/// An order with its fencing number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Numbered {
-    /// The fencing number; a server that checks it refuses one lower than it has seen.
+    /// Fencing number; a server that checks it refuses numbers lower than the highest it has received.
     pub number: u64,
     /// The order.
     pub order: Order,
 }
 
-/// What a backend server says of the orders it carried out.
+/// State that a backend server reports after executing orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The highest number it took; `None` where it keeps none.
+    /// Highest fencing number it has accepted; `None` if it does not track them.
     #[serde(default)]
     pub number: Option<u64>,
-    /// What is loaded.
+    /// Loaded objects.
     #[serde(default)]
     pub loaded: Vec<Loaded>,
-    /// Its role.
+    /// Current role.
     #[serde(default)]
     pub role: Option<String>,
 }
 
-/// Something that a backend server has loaded.
+/// An object that a backend server has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loaded {
-    /// What it is.
+    /// Kind of the object.
     pub kind: Kind,
-    /// Its name.
+    /// Name of the object.
     pub name: String,
 }
 
 impl Report {
-    /// Whether the server is as the order wants it.
+    /// Returns whether the reported state satisfies the order.
     #[must_use]
     pub fn shows(&self, order: &Order) -> bool {
         let has = |kind: Kind, name: &str| {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Carries an order out.
+    /// Applies an order to this state.
     pub fn apply(&mut self, order: &Order) {
         match order {
             Order::Load { kind, name } if !self.shows(order) => {
@@ -107,31 +107,31 @@
     }
 }
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It may be on its way.
+    /// The order may still be in transit.
     Pending,
-    /// The server showed that it was carried out.
+    /// The server's report confirms the order.
     Done,
-    /// It was refused, or the server did not show it.
+    /// The server refused the order or its report does not confirm it.
     Failed,
 }
 
-/// The row of a backend server: its newest order.
+/// Table row of a backend server with its newest order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The newest number and order.
+    /// Newest order with its fencing number.
     pub newest: Numbered,
-    /// How far it has come.
+    /// Progress of the order.
     pub stage: Stage,
-    /// Unique for each order; tells an issuer that lost its answer whether it wrote the row.
+    /// Unique for each order; lets an issuer whose write response was lost detect whether its write succeeded.
     pub id: String,
-    /// The operator.
+    /// Operator who gave the order.
     pub operator: String,
-    /// The host that issues it.
+    /// Host that issues the order.
     pub issuer: Name,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of issue, in milliseconds since the Unix epoch.
     pub issued_at_ms: u64,
 }
--- a/cypressvane/src/state/platform.rs
+++ b/cypressvane/src/state/platform.rs
@@ -1,6 +1,6 @@
-//! The contract with the platform's table service and host list.
+//! Interface to the platform's table service, host list and configuration store.
 //!
-//! Everything above this module meets the platform through these traits alone.
+//! All other modules access the platform only through these traits.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,59 +14,59 @@
 use crate::state::name::Name;
 use crate::state::rollout::{Order, Progress};
 
-/// Time between two reads of a host list that gives its state at once.
-const ROSTER_REST: Duration = Duration::from_secs(1);
+/// Default interval between reads of a host list that responds immediately instead of waiting for a change.
+const HOST_LIST_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A boxed future, so that the traits can be used as objects.
+/// A boxed future; it keeps the traits dyn-compatible.
 pub type Pending<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// One row of the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Grows with each write of this row.
+    /// Revision of the row; increases with each write.
     pub revision: u64,
-    /// The value as text.
+    /// Value of the row as text.
     pub value: String,
 }
 
-/// What a conditional write expects to find.
+/// Precondition of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// The row does not exist.
+    /// The row must not exist.
     Absent,
-    /// The row has this revision.
+    /// The row must have this revision.
     Revision(u64),
 }
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
     /// The write took effect.
     Done,
-    /// The row was not as expected, and nothing was written.
+    /// The precondition was not met; nothing was written.
     Conflict,
 }
 
-/// Why the platform gave no answer.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The call did not reach the platform, so it had no effect.
+    /// The call did not reach the platform and had no effect.
     #[error("the platform cannot be reached: {0}")]
     Unreachable(String),
-    /// The call may or may not have taken effect.
+    /// The response was lost; the call may have taken effect.
     #[error("the platform's answer was lost: {0}")]
     Lost(String),
-    /// The platform answered something that this module does not understand.
+    /// The platform's response was not understood.
     #[error("the platform answered {0}")]
     Unexpected(String),
 }
 
 /// The transactional table service.
 pub trait Table: Send + Sync {
-    /// Reads one row; `None` when it does not exist.
+    /// Reads a row; `None` if it does not exist.
     fn get<'a>(&'a self, key: &'a str) -> Pending<'a, Result<Option<Row>, Error>>;
 
-    /// Writes one row if it is as `expect` says.
+    /// Writes a row if the precondition `expect` holds.
     fn put<'a>(
         &'a self,
         key: &'a str,
@@ -75,28 +75,28 @@
     ) -> Pending<'a, Result<Write, Error>>;
 }
 
-/// What an entry of the host list is.
+/// Kind of an entry of the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A host that runs this system.
+    /// A host that runs the scheduler.
     Entry,
     /// A backend server of one service.
     Backend,
 }
 
-/// Whether an entry of the host list stays.
+/// Availability of an entry of the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Presence {
-    /// In service.
+    /// The entry is in service.
     Live,
-    /// Leaving: it gets no new work.
+    /// The entry is being removed and receives no new requests.
     Leaving,
 }
 
 impl Presence {
-    /// Its word in logs.
+    /// Returns the name used in logs.
     pub(crate) fn word(self) -> &'static str {
         match self {
             Self::Live => "live",
@@ -110,118 +110,118 @@
 pub struct Entry {
     /// Unique name.
     pub name: Name,
-    /// What it is.
+    /// Kind of the entry.
     pub kind: Kind,
-    /// Where it answers: the peer listener of a host, the only listener of a backend server.
+    /// Address of a host's peer listener, or of a backend server's only listener.
     pub address: SocketAddr,
-    /// The operators' listener of a host.
+    /// Address of a host's operators' listener.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operators: Option<SocketAddr>,
-    /// The service of a backend server.
+    /// Service that a backend server runs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<Name>,
-    /// Its data centre.
+    /// Data centre of the host or server.
     pub data_centre: Name,
-    /// Its region.
+    /// Region of the host or server.
     pub region: Name,
-    /// Whether it stays.
+    /// Availability of the host or server.
     pub presence: Presence,
-    /// The version of a backend server's software, where it tells.
+    /// Version of a backend server's software, if reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Name>,
-    /// Most requests that a backend server runs at once, where it tells.
+    /// Maximum number of concurrent requests of a backend server, if reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// When a backend server was started, where it tells: Unix milliseconds by its own clock. One that starts again under its
-    /// name holds and knows nothing of before.
+    /// Start time of a backend server, if reported, in milliseconds since the Unix epoch by the server's own clock. A
+    /// different value means that the server restarted and lost its requests and cached state.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_ms: Option<u64>,
 }
 
-/// What a read of the host list gives.
+/// Result of a read of the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// Nothing has changed since the read that gave this tag.
+    /// The list has not changed since the read that returned the given tag.
     Same,
-    /// The entries as they are now.
+    /// The current entries.
     Entries {
-        /// Tells this state of the list from others; `None` where the platform gives no tags.
+        /// Tag that identifies this state of the list; `None` if the platform does not provide tags.
         tag: Option<String>,
         /// The entries.
         entries: Vec<Entry>,
-        /// Whether another host told of what is new, rather than the platform itself.
+        /// Whether the newest change was reported by another host instead of the platform.
         told: bool,
-        /// What was left out because it could not be read, and why.
+        /// Entries that were skipped because they do not parse, with the reason.
         faults: Vec<String>,
     },
 }
 
-/// How closely a host follows the host list itself.
+/// How closely a host watches the host list itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attention {
-    /// It waits for each change, and passes it on to others.
+    /// The host waits for each change and forwards it to others.
     Close,
-    /// It waits for changes, and lets many come together: it starts, and others are likely to tell soon.
+    /// The host waits for changes and batches them; used while it starts, when others are likely to report them soon.
     Patient,
-    /// It hears of changes from others, and reads the list itself only now and then.
+    /// The host receives changes from others and reads the list itself only occasionally.
     Seldom,
 }
 
-/// The list of live and leaving hosts, which lags.
+/// The list of live and leaving hosts and backend servers; it is eventually consistent.
 pub trait Roster: Send + Sync {
-    /// Time to wait between two reads; zero where a read itself waits for a change.
+    /// Returns the interval between reads; zero if a read itself waits for a change.
     fn rest(&self) -> Duration {
-        ROSTER_REST
+        HOST_LIST_POLL_INTERVAL
     }
 
-    /// Whether hosts enter themselves.
+    /// Returns whether hosts register themselves.
     fn takes_entries(&self) -> bool {
         false
     }
 
-    /// Enters this host, where the platform does not do so itself.
+    /// Registers this host, if the platform does not do so itself.
     fn enter<'a>(&'a self, _entry: &'a Entry) -> Pending<'a, Result<(), Error>> {
         Box::pin(async { Ok(()) })
     }
 
-    /// Strikes out a host that is gone, where the platform does not do so itself.
+    /// Removes a host that is gone, if the platform does not do so itself.
     fn strike<'a>(&'a self, _host: &'a str) -> Pending<'a, Result<(), Error>> {
         Box::pin(async { Ok(()) })
     }
 
-    /// Says how closely this host is to follow the list itself.
+    /// Sets how closely this host watches the list itself.
     fn follow(&self, _attention: Attention) {}
 
-    /// Waits for a change that this host has seen and others may not have, in the platform's own form;
-    /// never ends where hosts do not pass changes on.
+    /// Waits for a change that this host has read and should forward to other hosts, in the platform's own encoding;
+    /// never completes if hosts do not forward changes.
     fn news(&self) -> Pending<'_, Vec<u8>> {
         Box::pin(std::future::pending())
     }
 
-    /// Takes in a change that another host has seen.
+    /// Applies a change that was forwarded by another host.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// Fails if the change cannot be decoded.
     fn hear(&self, _news: &[u8]) -> Result<(), Error> {
         Ok(())
     }
 
-    /// How far this host has read the list itself, as positions that only grow and that the hosts of one
-    /// platform can compare; empty where hosts do not pass changes on.
+    /// Returns the positions up to which this host has read the list itself; they only increase and are comparable
+    /// between the hosts of one platform. Empty if hosts do not forward changes.
     fn read_here(&self) -> Vec<u64> {
         Vec::new()
     }
 
-    /// How often the platform has come back from an older copy, as far as this host has seen.
+    /// Returns how often the platform has been restored from an older copy, as far as this host has observed.
     fn returns(&self) -> u64 {
         0
     }
 
-    /// Hears how far another host has read the list; where that is further and nothing is told soon, this
-    /// host looks itself.
+    /// Notes the positions up to which another host has read the list. If they are ahead and the changes are not
+    /// forwarded soon, this host reads the list itself.
     fn hear_of(&self, _read: &[u64]) {}
 
-    /// Reads the entries of a region, or of all regions, unless they are as they were at `known`.
+    /// Reads the entries of a region, or of all regions; `known` is the tag of the last state read.
     fn list<'a>(
         &'a self,
         region: Option<&'a str>,
@@ -229,51 +229,53 @@
     ) -> Pending<'a, Result<Listing, Error>>;
 }
 
-/// What a look at the configuration gives.
+/// Result of a read of the configuration store.
 #[derive(Clone, Debug)]
 pub struct Look {
-    /// What it shows was the newest then or later.
+    /// Time at or after which this result was the newest state.
     pub confirmed: Instant,
-    /// The same moment by the platform's clock, in milliseconds, which other hosts can place in their
-    /// own time; `None` where the platform tells no time.
+    /// The same time by the platform's clock, in milliseconds, which other hosts can convert to their own clock; `None`
+    /// if the platform does not report its time.
     pub stamp: Option<u64>,
-    /// The newest version, if it is above the one that was known.
+    /// Number and content of the newest version, if it is newer than the known one.
     pub newer: Option<(u64, Fleet)>,
-    /// The newest order of a roll-out of each service that has one.
+    /// Newest roll-out order of each service that has one.
     pub orders: Vec<Order>,
-    /// What was left out of them because it could not be read, and why; each is told once for each change.
+    /// Orders that were skipped because they do not parse, with the reason; each is reported once per change.
     pub faults: Vec<String>,
-    /// How often the platform has come back from an older copy, without what was written last.
+    /// Number of times the platform has been restored from an older copy, losing its latest writes.
     pub returns: u64,
 }
 
-/// What is kept of a service's roll-out, with the revision by which it is changed.
+/// Stored progress of a service's roll-out, with its revision for conditional writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Kept {
-    /// Grows with each write.
+    /// Revision; increases with each write.
     pub revision: u64,
-    /// What is kept.
+    /// Stored progress.
     pub progress: Progress,
 }
 
-/// Where operators keep the configuration, on a platform with a place of its own for it.
+/// A store in which operators maintain the configuration, on platforms that have one besides the table service.
 pub trait Source: Send + Sync {
-    /// Waits for a version above `known`, but not much longer than `wait`.
+    /// Reads the store. Unless it already has a version newer than `known`, waits for a change, for little longer than
+    /// `wait`.
     fn look(&self, known: u64, wait: Duration) -> Pending<'_, Result<Look, Error>>;
 
-    /// A moment by the platform's clock in this host's time, or an earlier one; `None` where this
-    /// host does not know the platform's clock.
+    /// Converts a time by the platform's clock to this host's clock, never to a later time than the true one; `None` if
+    /// the offset of the platform's clock is not known.
     fn moment(&self, stamp: u64) -> Option<Instant>;
 
-    /// When the platform last answered a call of this host, whatever it was for; `None` where that is not known.
+    /// Returns the time at which the platform last responded to any call of this host; `None` if not known.
     fn answered(&self) -> Option<Instant> {
         None
     }
 
-    /// Reads what is kept of a service's roll-out.
+    /// Reads the stored progress of a service's roll-out.
     fn rollout<'a>(&'a self, service: &'a str) -> Pending<'a, Result<Option<Kept>, Error>>;
 
-    /// Keeps it if it is as `expect` says, and tells operators how it stands.
+    /// Stores the progress of a service's roll-out if the precondition `expect` holds, and publishes its state to
+    /// operators.
     fn keep_rollout<'a>(
         &'a self,
         service: &'a str,
@@ -288,6 +290,6 @@
     pub table: Box<dyn Table>,
     /// The host list.
     pub roster: Box<dyn Roster>,
-    /// Where the configuration comes from; the table service when there is none.
+    /// Configuration store; if absent, the configuration is read from the table service.
     pub source: Option<Box<dyn Source>>,
 }
--- a/cypressvane/src/state/reason.rs
+++ b/cypressvane/src/state/reason.rs
@@ -1,67 +1,67 @@
-//! Why a request is refused or fails, and when its caller is to come back.
+//! Reasons for which a request is refused or fails, with an optional retry time.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The stable code of a refusal or failure.
+/// The stable, machine-readable code of a refusal or failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The request is not understood.
+    /// The request is malformed.
     BadRequest,
     /// The bearer key is missing or unknown.
     Unauthorized,
-    /// No such path.
+    /// The path does not exist.
     NotFound,
-    /// No such model or service.
+    /// The model or service does not exist.
     UnknownModel,
-    /// The path exists, but not with this method.
+    /// The path does not support this method.
     MethodNotAllowed,
-    /// The caller sent too slowly.
+    /// The caller sent the request too slowly.
     SlowRequest,
-    /// The body is over the limit.
+    /// The request body exceeds the size limit.
     BodyTooLarge,
-    /// The head is over the limit.
+    /// The request head exceeds the size limit.
     HeadTooLarge,
-    /// The account is over its limits.
+    /// The account exceeds its limits.
     AccountLimit,
-    /// The policy program refused it.
+    /// The policy program refused the request.
     RefusedByPolicy,
-    /// The queue is full, or the request made room for a higher tier.
+    /// The queue is full, or the request was evicted in favor of a higher tier.
     Overloaded,
-    /// It could not be answered within its deadline.
+    /// The request is not expected to be answered within its deadline.
     DeadlineUnreachable,
-    /// Its deadline passed while it waited.
+    /// The deadline passed while the request was queued.
     DeadlinePassed,
-    /// No backend server of the service takes work.
+    /// No backend server of the service accepts requests.
     NoServer,
     /// This host has no configuration yet.
     NotReady,
-    /// A platform service that the request needs gives no answer.
+    /// A platform service that the request depends on does not respond.
     PlatformUnavailable,
-    /// A platform service's answer was lost, and the change may have taken effect.
+    /// The response of a platform service was lost; the change may have taken effect.
     OutcomeUnknown,
     /// Too many connections are open.
     TooManyConnections,
-    /// A request with this idempotency key was taken before.
+    /// A request with this idempotency key was already accepted.
     Duplicate,
-    /// A conditional change lost against another.
+    /// A conditional update failed because of a concurrent one.
     Conflict,
-    /// The submitted document does not check.
+    /// The submitted document fails validation.
     Rejected,
-    /// The backend server's answer broke off.
+    /// The backend server's response was interrupted.
     BackendFailed,
-    /// The backend server sent nothing for too long, or the deadline passed while it worked.
+    /// The backend server sent no data for too long, or the deadline passed while the request was running.
     BackendSilent,
-    /// The backend server answered another request.
+    /// The backend server responded to a different request.
     AnswerMismatch,
-    /// Backend servers ended under the request, so it is sent to no other.
+    /// Several backend servers terminated while running the request, so it is quarantined.
     EndsServers,
 }
 
 impl Code {
-    /// The HTTP status that goes with the code.
+    /// Returns the HTTP status for the code.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The code as it stands in answers, logs and metrics.
+    /// Returns the code as it appears in responses, logs and metrics.
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
@@ -119,19 +119,19 @@
     }
 }
 
-/// Why a request is refused, before it is known whether it ran.
+/// Reason of a refusal or failure, without the information whether the request ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reason {
     /// The stable code.
     pub code: Code,
-    /// For a person.
+    /// Human-readable description.
     pub message: String,
-    /// When asking again makes sense.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Reason {
-    /// A reason without a time to come back.
+    /// Creates a reason without a retry delay.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -140,13 +140,13 @@
         }
     }
 
-    /// The deadline passed before a backend server was found.
+    /// Creates the reason for a request whose deadline passed while it was queued.
     pub(crate) fn deadline_passed() -> Self {
         let message = "the deadline passed while the request waited";
         Self::new(Code::DeadlinePassed, message)
     }
 
-    /// A reason with a time to come back.
+    /// Creates a reason with a retry delay.
     pub fn later(code: Code, message: impl Into<String>, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
--- a/cypressvane/src/state/rollout.rs
+++ b/cypressvane/src/state/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: what operators order, and how far one has come.
+//! Roll-outs: the operators' order and the stored progress.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,56 +10,57 @@
 /// An operators' order to move a service's traffic to the backend servers of another version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The service.
+    /// Service to roll out.
     pub service: Name,
-    /// The version that is to get its traffic.
+    /// Version that receives the traffic after the roll-out.
     pub to: Name,
-    /// Tells it from earlier orders of the service, and grows.
+    /// Sequence number; higher than that of all earlier orders for the service.
     pub number: u64,
-    /// How often the platform had come back from an older copy when it was written.
+    /// Number of times the platform had been restored from an older copy when the order was written.
     pub era: u64,
-    /// When it was first seen, by the platform's clock in milliseconds.
+    /// Time at which the order was first read, by the platform's clock in milliseconds.
     pub seen_ms: u64,
-    /// How long it may take.
+    /// Time within which the roll-out must be decided.
     pub duration: Duration,
 }
 
-/// How long after an order was due it may be written again by operators whose platform has lost it.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(60);
+/// Time after an order's due time during which operators may resubmit it because the platform lost it.
+const RESUBMIT_WITHIN: Duration = Duration::from_secs(60);
 
 impl Order {
-    /// Whether this is an order that stood before, written again since the platform has lost it.
+    /// Returns whether this order resubmits `before`, which the platform lost in a restore from an older copy.
     #[must_use]
     pub fn is_again(&self, before: &Self) -> bool {
-        let is_like = self.to == before.to && self.duration == before.duration;
-        is_like && self.era > before.era
+        let has_same_target = self.to == before.to && self.duration == before.duration;
+        has_same_target && self.era > before.era
     }
 
-    /// Whether what is kept is of this order, under this number or one that it had before the platform lost it.
+    /// Returns whether stored progress belongs to this order, under its current number or, if the platform lost the
+    /// order and it was resubmitted, under its previous number.
     #[must_use]
     pub fn owns(&self, kept: &Progress) -> bool {
-        let again_ms = u64::try_from(WRITTEN_AGAIN_WITHIN.as_millis()).unwrap_or(u64::MAX);
+        let resubmit_ms = u64::try_from(RESUBMIT_WITHIN.as_millis()).unwrap_or(u64::MAX);
         let is_again = self.to == kept.to
             && self.era > kept.era
-            && self.seen_ms <= kept.due_ms.saturating_add(again_ms);
+            && self.seen_ms <= kept.due_ms.saturating_add(resubmit_ms);
         kept.number == self.number || is_again
     }
 }
 
-/// How a roll-out stands.
+/// Outcome of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Not decided yet.
+    /// The roll-out is undecided.
     InProgress,
-    /// The service's traffic goes to the new version; the servers of the old one stop.
+    /// The service's traffic goes to the new version; the servers of the old version are stopped.
     Completed,
     /// The service's traffic stays with the old version.
     RolledBack,
 }
 
 impl Stage {
-    /// Its word in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
@@ -70,24 +71,24 @@
     }
 }
 
-/// What of a roll-out must outlast every host.
+/// Progress of a roll-out, stored on the platform so that it survives the loss of any host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// The order's number.
+    /// Number of the order.
     pub number: u64,
-    /// The order's era.
+    /// Era of the order.
     pub era: u64,
-    /// The version that is to get the traffic.
+    /// Version that receives the traffic after the roll-out.
     pub to: Name,
-    /// How it stands.
+    /// Current outcome.
     pub stage: Stage,
-    /// Why it was decided so; empty before.
+    /// Reason of the decision; empty until decided.
     pub why: String,
-    /// When it is due, by the platform's clock in milliseconds.
+    /// Time at which the roll-out is due, by the platform's clock in milliseconds.
     pub due_ms: u64,
-    /// Requests that may have been allotted to the new version until now: those of them that a coordinator which
-    /// is gone did not hand out are lost, so that none is handed out twice.
+    /// Upper bound on the requests allotted to the new version so far. If a coordinator is lost, the part that it
+    /// had not handed out is forfeited, so that no request is allotted twice.
     pub allotted: u64,
-    /// Whole answers of the new version by route, so that the evidence outlasts the coordinator.
+    /// Complete responses of the new version by route, so that the evidence survives the loss of the coordinator.
     pub answers: BTreeMap<Name, u64>,
 }
