--- a/cypressvane/src/protocol/dump.rs
+++ b/cypressvane/src/protocol/dump.rs
@@ -7,85 +7,85 @@
 use crate::state::name::Name;
 use crate::state::rollout::Stage;
 
-/// Everything a host can tell of its state.
+/// State of a host, as reported to operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Dump {
-    /// The host.
+    /// Name of the host.
     pub host: Name,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: Name,
-    /// Its region.
+    /// Region of the host.
     pub region: Name,
-    /// Differs after each start.
+    /// Incarnation number; changes with each start of the host.
     pub incarnation: u64,
-    /// The program's version.
+    /// Version of the program.
     pub program: String,
-    /// Seconds since it started.
+    /// Seconds since the host started.
     pub up_seconds: u64,
-    /// Whether it takes callers.
+    /// Whether the host accepts requests from callers.
     pub ready: bool,
-    /// Whether it is leaving.
+    /// Whether the host is shutting down.
     pub draining: bool,
     /// The configuration in force.
     pub configuration: Configuration,
-    /// Requests held for callers: waiting or running.
+    /// Number of requests held for callers, waiting or running.
     pub held: u64,
-    /// The hosts among which this host seeks the home of a pool.
+    /// Hosts among which this host chooses the home of a pool.
     pub homes: Vec<Name>,
-    /// The pools whose home this host is.
+    /// Pools kept by this host, as their home now or earlier.
     pub pools: Vec<Pool>,
-    /// The other hosts.
+    /// State of the other hosts, as seen by this host.
     pub peers: Vec<Peer>,
 }
 
-/// A request under which backend servers ended.
+/// A request that was running on backend servers when they terminated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantined {
-    /// What it is known by.
+    /// Fingerprint that identifies the request, in hexadecimal.
     pub fingerprint: String,
-    /// Its client account; `None` on a public route.
+    /// Client account of the request; `None` on a public route.
     pub account: Option<Name>,
-    /// The beginning of its path.
+    /// Start of the request's path.
     pub path: Name,
-    /// Whether it is kept from the backend servers; else it is a suspect.
+    /// Whether the request is quarantined; otherwise it is only a suspect.
     pub kept: bool,
-    /// The servers that ended under it.
+    /// Servers that terminated while running the request.
     pub servers: Vec<Name>,
-    /// Milliseconds since it was kept from them, or since the last of them ended.
+    /// Milliseconds since the request was quarantined, or, for a suspect, since the last of the servers terminated.
     pub since_ms: u64,
 }
 
-/// An operators' order to move a service's traffic to another version.
+/// State of a roll-out order, which moves a service's traffic to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The version that gets its traffic, as this host knows.
+    /// Version that receives the traffic before the roll-out, if known to this host.
     pub from: Option<Name>,
-    /// The version that is to get it.
+    /// Version that receives the traffic after the roll-out.
     pub to: Name,
-    /// The order's number.
+    /// Number of the order.
     pub number: u64,
-    /// How it stands, as this host knows.
+    /// Outcome, as known to this host.
     pub stage: Stage,
-    /// The host that decides on it.
+    /// Host that decides the roll-out.
     pub coordinator: Name,
-    /// What it has decided by; only that host tells it.
+    /// Evidence for the decision; reported only by the coordinator.
     pub evidence: Option<Evidence>,
 }
 
-/// What a roll-out is decided by.
+/// Evidence on which a roll-out is decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// `canary`, `all`, `completed` or `rolled_back`.
     pub phase: String,
-    /// Why it was decided so, or what is missing.
+    /// Reason of the decision, or what is still missing for one.
     pub why: String,
-    /// Requests of the service since the order.
+    /// Requests of the service since the order, as reported by hosts.
     pub requests: u64,
-    /// Requests that hosts were allowed for canaries.
+    /// Canary requests allotted to hosts, less those that they returned unsent.
     pub dealt: u64,
-    /// Whole answers of the new version.
+    /// Complete answers of the new version.
     pub answers: u64,
     /// Failures of the new version.
     pub failures: u64,
@@ -107,25 +107,25 @@
 /// The configuration in force on a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its version; 0 when there is none.
+    /// Version of the configuration; 0 if there is none.
     pub version: u64,
-    /// Digest of its manifest.
+    /// Digest of the configuration's manifest.
     pub digest: String,
-    /// Milliseconds since the table service last gave the head row; `None` when it never did.
+    /// Milliseconds since the head row was last read from the table service; `None` if never.
     pub table_read_ms_ago: Option<u64>,
 }
 
-/// What this host believes of another.
+/// State of another host, as seen by this host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Peer {
-    /// The host.
+    /// Name of the other host.
     pub name: Name,
-    /// `live`, `suspect`, `leaving` or `gone`.
+    /// `live`, `suspect` or `leaving`.
     pub state: String,
-    /// Its last known incarnation.
+    /// Last known incarnation number.
     pub incarnation: u64,
-    /// Configuration version that it last told.
+    /// Configuration version in its last heartbeat.
     pub version: u64,
-    /// Milliseconds since it was last heard; `None` when never.
+    /// Milliseconds since a message was last received from it; `None` if never.
     pub heard_ms_ago: Option<u64>,
 }
--- a/cypressvane/src/protocol/events.rs
+++ b/cypressvane/src/protocol/events.rs
@@ -1,38 +1,38 @@
-//! Server-sent events, cut into whole ones.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! A server may stop in the middle of an event, so only whole events are passed on.
+//! A server may stop in the middle of an event, so only complete events are forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// What ends an event.
-const END: &[u8] = b"\n\n";
-/// The field with an event's number.
-const ID: &[u8] = b"id:";
+/// Terminator of an event.
+const TERMINATOR: &[u8] = b"\n\n";
+/// Field name of the event number.
+const ID_FIELD: &[u8] = b"id:";
 
-/// One whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, where it has one.
+    /// Event number, if the event has one.
     pub id: Option<u64>,
-    /// Its bytes with the empty line that ends it.
+    /// Bytes of the event, including the empty line that terminates it.
     pub bytes: Bytes,
 }
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 #[derive(Debug, Default)]
 pub struct Cutter {
     pending: BytesMut,
 }
 
 impl Cutter {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = memchr::memmem::find(&self.pending, END)? + END.len();
+        let end = memchr::memmem::find(&self.pending, TERMINATOR)? + TERMINATOR.len();
         let bytes = self.pending.split_to(end).freeze();
         Some(Event {
             id: id_of(&bytes),
@@ -40,15 +40,16 @@
         })
     }
 
-    /// Bytes that are no whole event yet.
+    /// Returns the number of bytes received since the last event that was returned.
     #[must_use]
     pub fn rest(&self) -> usize {
         self.pending.len()
     }
 }
 
+/// Returns the number of an event; `None` if it has none or it is not a number.
 fn id_of(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
-    let line = lines.find_map(|line| line.strip_prefix(ID))?;
+    let line = lines.find_map(|line| line.strip_prefix(ID_FIELD))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
 }
--- a/cypressvane/src/protocol/exchange.rs
+++ b/cypressvane/src/protocol/exchange.rs
@@ -1,6 +1,6 @@
-//! What callers, this system and backend servers tell each other beside method, target and body.
+//! Headers by which callers, hosts and backend servers exchange metadata of requests and answers.
 //!
-//! Which headers carry it differs from site to site: a `Dialect` has their names.
+//! Header names differ between sites; a `Dialect` defines them.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,99 +10,100 @@
 
 use crate::state::units::millis;
 
-/// The project's own header in which a backend server names how many requests a second it takes.
+/// The project's own header for the number of requests per second that a backend server accepts.
 pub(crate) const NATIVE_LIMIT: &str = "cypressvane-limit";
 
-/// What a request says of itself.
+/// Metadata in a request's headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ask {
-    /// The caller's id of this attempt.
+    /// Id that the caller gave to this attempt.
     pub id: Option<String>,
-    /// How long the caller waits, from when the request was read.
+    /// How long the caller waits for the answer, from the time at which the request was read.
     pub patience: Option<Duration>,
-    /// The caller's key.
+    /// Bearer key of the caller.
     pub key: Option<String>,
-    /// Prompt tokens and largest number of answer tokens.
+    /// Number of prompt tokens and maximum number of answer tokens.
     pub usage: Option<Usage>,
-    /// The caller's guess of the answer's tokens; right as often too low as too high.
+    /// Caller's estimate of the answer's tokens; it is too low as often as too high.
     pub answer_hint: Option<u32>,
-    /// The prompt's parts, or whatever else tells this request from others; opaque.
+    /// Identifiers of the prompt's parts, or another value that distinguishes the request; opaque.
     pub prompt: Option<String>,
-    /// The last event of a stream that the caller has already.
+    /// Number of the last event of a stream that the caller has already received.
     pub last_event: Option<u64>,
 }
 
 /// The size of a generation, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of answer tokens.
     pub answer: u32,
 }
 
-/// What a backend server is told with a request.
+/// Metadata that is sent to a backend server with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Delivery<'a> {
-    /// What is left of the caller's patience.
+    /// Time remaining until the caller's deadline.
     pub left: Duration,
-    /// The client account.
+    /// Client account of the request.
     pub account: Option<&'a str>,
-    /// The backend server that is meant; another one at its address must not run the request.
+    /// Name of the intended backend server; a different server at its address must not run the request.
     pub server: &'a str,
-    /// The last event that the caller has already.
+    /// Number of the last event that the caller has already received.
     pub last_event: Option<u64>,
 }
 
-/// What an answer's head says of it and of its server.
+/// Metadata in an answer's status and headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// The server states that it did not run the request and will not.
+    /// The server states that it did not run the request and will not run it.
     pub not_run: bool,
-    /// The server at that address is another than was meant.
+    /// The server at the address is not the intended one.
     pub misdirected: bool,
-    /// It bears the mark without which a success does not count.
+    /// The answer carries the mark that a successful answer must have; always true if the dialect has no mark.
     pub genuine: bool,
-    /// The id of the request that is answered, where it is told.
+    /// Id of the request that the server answers, if stated.
     pub request_id: Option<String>,
-    /// How busy the server was.
+    /// Load of the server, if stated.
     pub load: Option<Load>,
-    /// How many requests the server takes.
+    /// Rate limit of the server.
     pub limit: Limit,
 }
 
 impl Reply {
-    /// Whether it answers the request with that id, as far as it tells.
+    /// Returns whether this is the answer to the request with the id `asked`; true if no id is stated.
     #[must_use]
     pub fn answers(&self, asked: Option<&str>) -> bool {
         let answered = self.request_id.as_deref();
         answered.is_none_or(|answered| Some(answered) == asked)
     }
 
-    /// Whether it was given to the request with that id by the server that was meant, so that it tells of that server.
+    /// Returns whether the answer comes from the intended server and belongs to the request with the id `asked`, so
+    /// that its metadata applies to that server.
     #[must_use]
     pub fn tells_of_server(&self, asked: Option<&str>) -> bool {
         !self.misdirected && self.answers(asked)
     }
 }
 
-/// How many requests a second a backend server takes from all hosts together, as an answer says.
+/// Rate limit of a backend server, as stated in an answer: requests per second from all hosts together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Limit {
-    /// It names no limit.
+    /// The answer states no limit.
     #[default]
     Unnamed,
-    /// Requests a second; 0 where it takes none.
+    /// Requests per second; 0 if the server accepts none.
     PerSecond(f64),
-    /// What it names is no limit.
+    /// The stated limit is invalid.
     Malformed,
 }
 
 impl Limit {
-    /// Most requests a second that are a limit: more than a server could be sent.
-    const MOST: f64 = 1e9;
+    /// Maximum valid limit in requests per second; no server can be sent more.
+    const PER_SECOND_MAX: f64 = 1e9;
 
-    /// Reads the values of the header that names it, of which there may be one.
+    /// Parses the values of the limit header; more than one value is malformed.
     #[must_use]
     pub fn read<'a>(mut values: impl Iterator<Item = &'a str>) -> Self {
         let Some(value) = values.next() else {
@@ -112,19 +113,19 @@
             return Self::Malformed;
         }
         let number = value.trim().parse::<f64>().ok();
-        let limit = number.filter(|number| (0.0..=Self::MOST).contains(number));
+        let limit = number.filter(|number| (0.0..=Self::PER_SECOND_MAX).contains(number));
         limit.map_or(Self::Malformed, Self::PerSecond)
     }
 }
 
-/// How busy a backend server was when it answered.
+/// Load of a backend server at the time of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Number of requests waiting in the server.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
@@ -138,19 +139,19 @@
     }
 }
 
-/// How long callers wait for the first event of a stream: for the longest of three times.
+/// How long callers wait for the first event of a stream: the longest of three times.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamPatience {
-    /// The least time.
+    /// Minimum time.
     pub least: Duration,
-    /// Objectives of the route.
+    /// Factor for the route's objective.
     pub objectives: u32,
-    /// Longest pauses of the route.
+    /// Factor for the route's maximum pause between events.
     pub pauses: u32,
 }
 
 impl StreamPatience {
-    /// How long a caller waits on a route with that objective and that longest pause.
+    /// Returns how long a caller waits on a route with the given objective and maximum pause.
     #[must_use]
     pub fn on(&self, objective: Duration, pause: Duration) -> Duration {
         self.least
@@ -159,48 +160,48 @@
     }
 }
 
-/// The names of a site's headers, with which it reads and writes them.
+/// Header names and formats of a site.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// The caller's id of one attempt; servers echo it.
+    /// The caller's id of an attempt; servers echo it.
     pub request_id: HeaderName,
-    /// How many milliseconds the caller waits.
+    /// How long the caller waits, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The client account, set by this system alone.
+    /// The client account; set only by the scheduler, which overwrites the value of a caller.
     pub account: HeaderName,
-    /// The name of the backend server that is meant.
+    /// Name of the intended backend server.
     pub server: HeaderName,
-    /// Prompt tokens and most answer tokens, with a comma between them.
+    /// Number of prompt tokens and maximum number of answer tokens, separated by a comma.
     pub usage: HeaderName,
-    /// The caller's guess of the answer's tokens.
+    /// The caller's estimate of the answer's tokens.
     pub answer_hint: HeaderName,
-    /// The parts of the prompt in order, with commas between them.
+    /// Identifiers of the prompt's parts in order, separated by commas.
     pub prompt: HeaderName,
-    /// The model that is asked for.
+    /// Requested model.
     pub model: HeaderName,
-    /// The last event of a stream that the caller has.
+    /// Number of the last event of a stream that the caller has received.
     pub last_event: HeaderName,
-    /// The server did not run the request.
+    /// States that the server did not run the request.
     pub not_run: HeaderName,
-    /// Running and waiting requests and slots of the server, with commas between them.
+    /// Running requests, waiting requests and slots of the server, separated by commas.
     pub load: HeaderName,
-    /// Requests a second that the server takes from all hosts together.
+    /// Requests per second that the server accepts from all hosts together.
     pub limit: HeaderName,
-    /// The server's mark, without which a success does not count; `None` where there is none.
+    /// Mark that a successful answer must carry; `None` if the site has none.
     pub mark: Option<HeaderName>,
-    /// Orders to a backend server that only this system may give; a caller's are dropped.
+    /// Instructions to a backend server that only the scheduler may give; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
-    /// How long callers wait for the first event of a stream; `None` where they wait as long as for
-    /// its end.
+    /// How long callers wait for the first event of a stream; `None` if they wait as long as for the end of the
+    /// stream.
     pub stream_patience: Option<StreamPatience>,
-    /// The scheme of keys in `Authorization`.
+    /// Authentication scheme in `Authorization`.
     pub scheme: &'static str,
-    /// Whether the time to come back may have fractions of a second.
+    /// Whether `Retry-After` may contain fractions of a second.
     pub fractions: bool,
 }
 
 impl Dialect {
-    /// The project's own headers.
+    /// Returns the project's own headers.
     #[must_use]
     pub fn native() -> Self {
         let name = HeaderName::from_static;
@@ -225,22 +226,22 @@
         }
     }
 
-    /// Reads what a request says of itself.
+    /// Parses the metadata of a request; missing or malformed values are `None`.
     #[must_use]
     pub fn ask(&self, headers: &HeaderMap) -> Ask {
         Ask {
-            id: text(headers, &self.request_id).map(str::to_owned),
-            patience: number(headers, &self.deadline_ms).map(Duration::from_millis),
+            id: header_text(headers, &self.request_id).map(str::to_owned),
+            patience: header_number(headers, &self.deadline_ms).map(Duration::from_millis),
             key: bearer(headers, self.scheme).map(str::to_owned),
-            usage: text(headers, &self.usage).and_then(usage),
-            answer_hint: text(headers, &self.answer_hint).and_then(|hint| hint.parse().ok()),
-            prompt: text(headers, &self.prompt).map(str::to_owned),
-            last_event: number(headers, &self.last_event),
+            usage: header_text(headers, &self.usage).and_then(parse_usage),
+            answer_hint: header_text(headers, &self.answer_hint).and_then(|hint| hint.parse().ok()),
+            prompt: header_text(headers, &self.prompt).map(str::to_owned),
+            last_event: header_number(headers, &self.last_event),
         }
     }
 
-    /// Whether a caller may not have a header taken off by naming it in `Connection`: without it
-    /// the backend server would get another request.
+    /// Returns whether a header is kept even if the caller lists it in `Connection`; without it, the backend server
+    /// would receive a different request.
     #[must_use]
     pub fn is_end_to_end(&self, header: &HeaderName) -> bool {
         [
@@ -253,35 +254,35 @@
         .contains(&header)
     }
 
-    /// Turns a caller's headers into those that a backend server gets.
+    /// Converts a caller's headers to the headers that are sent to a backend server.
     pub fn deliver(&self, headers: &mut HeaderMap, delivery: &Delivery<'_>) {
         headers.remove(AUTHORIZATION);
         for reserved in &self.reserved {
             headers.remove(reserved);
         }
-        set(
+        set_header(
             headers,
             &self.deadline_ms,
             Some(&millis(delivery.left).to_string()),
         );
-        set(headers, &self.account, delivery.account);
-        set(headers, &self.server, Some(delivery.server));
+        set_header(headers, &self.account, delivery.account);
+        set_header(headers, &self.server, Some(delivery.server));
         let last_event = delivery.last_event.map(|event| event.to_string());
-        set(headers, &self.last_event, last_event.as_deref());
+        set_header(headers, &self.last_event, last_event.as_deref());
     }
 
-    /// Reads what an answer says of itself.
+    /// Parses the metadata of an answer.
     #[must_use]
     pub fn reply(&self, status: StatusCode, headers: &HeaderMap) -> Reply {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-        let bears = |name: &HeaderName| headers.contains_key(name);
+        let has_header = |name: &HeaderName| headers.contains_key(name);
         Reply {
-            not_run: misdirected || bears(&self.not_run),
+            not_run: misdirected || has_header(&self.not_run),
             misdirected,
-            genuine: self.mark.as_ref().is_none_or(bears),
-            request_id: text(headers, &self.request_id).map(str::to_owned),
-            load: text(headers, &self.load).and_then(load),
-            // What is no text is no limit either.
+            genuine: self.mark.as_ref().is_none_or(has_header),
+            request_id: header_text(headers, &self.request_id).map(str::to_owned),
+            load: header_text(headers, &self.load).and_then(parse_load),
+            // A value that is not text becomes empty, which is a malformed limit.
             limit: Limit::read(
                 headers
                     .get_all(&self.limit)
@@ -291,9 +292,9 @@
         }
     }
 
-    /// Marks an answer of this system: with the caller's id of the request, and when to come back.
+    /// Adds the caller's request id and the retry delay to an answer that the scheduler itself sends.
     pub fn end(&self, headers: &mut HeaderMap, id: Option<&str>, retry_after: Option<Duration>) {
-        set(headers, &self.request_id, id);
+        set_header(headers, &self.request_id, id);
         let Some(wait) = retry_after else { return };
         let seconds = if self.fractions {
             format!("{:.3}", wait.as_secs_f64())
@@ -301,12 +302,12 @@
             let rounded_up = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
             rounded_up.to_string()
         };
-        set(headers, &RETRY_AFTER, Some(&seconds));
+        set_header(headers, &RETRY_AFTER, Some(&seconds));
     }
 }
 
-/// A header's value; `None` where it is absent, stands twice or is no text.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// Returns a header's value; `None` if it is absent, occurs more than once or is not text.
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     if values.next().is_some() {
@@ -315,19 +316,19 @@
     value.to_str().ok().map(str::trim)
 }
 
-/// A header's value as a whole number.
-fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
-    text(headers, name)?.parse().ok()
+/// Returns a header's value as an integer.
+fn header_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+    header_text(headers, name)?.parse().ok()
 }
 
-/// The key in an `Authorization` header of a scheme.
+/// Returns the key in an `Authorization` header with the given scheme.
 fn bearer<'a>(headers: &'a HeaderMap, scheme: &str) -> Option<&'a str> {
-    let (found, key) = text(headers, &AUTHORIZATION)?.split_once(' ')?;
+    let (found, key) = header_text(headers, &AUTHORIZATION)?.split_once(' ')?;
     found.eq_ignore_ascii_case(scheme).then(|| key.trim())
 }
 
-/// Two numbers with a comma between them: prompt tokens, answer tokens.
-fn usage(text: &str) -> Option<Usage> {
+/// Parses prompt tokens and answer tokens, separated by a comma.
+fn parse_usage(text: &str) -> Option<Usage> {
     let (prompt, answer) = text.split_once(',')?;
     Some(Usage {
         prompt: prompt.trim().parse().ok()?,
@@ -335,8 +336,8 @@
     })
 }
 
-/// Three numbers with commas between them: running, waiting, slots.
-fn load(text: &str) -> Option<Load> {
+/// Parses running requests, waiting requests and slots, separated by commas.
+fn parse_load(text: &str) -> Option<Load> {
     let mut numbers = text.split(',').map(|part| part.trim().parse::<u32>().ok());
     Some(Load {
         running: numbers.next()??,
@@ -345,8 +346,8 @@
     })
 }
 
-/// Sets a header, or removes it where there is no value or none that a header can hold.
-fn set(headers: &mut HeaderMap, name: &HeaderName, value: Option<&str>) {
+/// Sets a header, or removes it if there is no value or the value is not valid in a header.
+fn set_header(headers: &mut HeaderMap, name: &HeaderName, value: Option<&str>) {
     match value.and_then(|value| HeaderValue::from_str(value).ok()) {
         Some(value) => headers.insert(name.clone(), value),
         None => headers.remove(name),
--- a/cypressvane/src/protocol/message.rs
+++ b/cypressvane/src/protocol/message.rs
@@ -1,7 +1,8 @@
-//! What hosts say to each other: frames of `MessagePack` in the body of one long HTTP request.
+//! Messages between hosts: `MessagePack` frames in the body of one long-lived HTTP request.
 //!
-//! A frame is a length of four bytes, most significant first, and a list of messages. All messages
-//! are idempotent, and each may be lost: offers are repeated, and grants are reconciled.
+//! A frame consists of its length, four bytes in big-endian order, and a list of messages. Any message may be lost:
+//! offers are repeated, and grants are reconciled. Messages are idempotent, except for `Charge`, `GiveBack`, `Spent`,
+//! `Rollout` and `RolloutWord`: these carry amounts, so each is sent only once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,52 +19,52 @@
 
 pub(crate) use crate::protocol::ruling::{Ended, Ruling};
 
-/// Version of this protocol; hosts of unlike versions do not talk.
+/// Version of this protocol; hosts reject requests of peers with a different version.
 pub(crate) const VERSION: &str = "10";
-/// Where links end.
+/// Path to which a host sends its messages.
 pub(crate) const LINK_PATH: &str = "/peer/v1/link";
-/// Where the configuration in force is given.
+/// Path of the configuration in force.
 pub(crate) const CONFIG_PATH: &str = "/peer/v1/config";
-/// The header that names the calling host.
+/// Header with the name of the calling host.
 pub(crate) const HOST: &str = "cypressvane-host";
-/// The header with the calling host's incarnation.
+/// Header with the incarnation of the calling host.
 pub(crate) const INCARNATION: &str = "cypressvane-incarnation";
-/// The header with the protocol's version.
+/// Header with the version of this protocol.
 pub(crate) const PROTOCOL: &str = "cypressvane-protocol";
-/// Bytes of a frame's length.
+/// Size of a frame's length field, in bytes.
 pub(crate) const LENGTH_BYTES: usize = 4;
-/// Longest frame, in bytes.
+/// Maximum length of a frame, in bytes.
 pub(crate) const FRAME_BYTES_MAX: usize = 1 << 20;
 
-/// One message; the short names keep frames small.
+/// A message between hosts; the short wire names keep frames small.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// Holder to home: a request asks for a server.
+    /// Holder to home: a request needs a server.
     #[serde(rename = "o")]
     Offer(Offer),
-    /// Holder to home: a request no longer waits, or its grant is not used.
+    /// Holder to home: a request no longer waits, or its grant will not be used.
     #[serde(rename = "w")]
     Withdraw { shard: Shard, sequence: u64 },
-    /// Holder to home: the first token of a granted request came.
+    /// Holder to home: the first token of a granted request has arrived.
     #[serde(rename = "t")]
     FirstToken { shard: Shard, sequence: u64 },
-    /// Holder to home: a granted request ended.
+    /// Holder to home: a granted request has finished.
     #[serde(rename = "f")]
     Finish {
         shard: Shard,
         sequence: u64,
         end: End,
-        /// Longest pause between events of its answer that was seen, in milliseconds.
+        /// Longest observed pause between events of its answer, in milliseconds.
         pause_ms: Option<u64>,
     },
-    /// Any host to home: how many requests a second a server takes.
+    /// Any host to home: the rate limit of a server.
     #[serde(rename = "p")]
     Limit {
         shard: Shard,
         server: Name,
         heard: Heard,
     },
-    /// Holder to a new home: this request runs on a grant of an earlier home.
+    /// Holder to a new home: this request is running on a grant of an earlier home.
     #[serde(rename = "a")]
     Adopt {
         shard: Shard,
@@ -72,7 +73,7 @@
         prompt_tokens: u32,
         prefilled: bool,
     },
-    /// Holder to home: of this shard, only these requests still run.
+    /// Holder to home: the complete list of its requests that are running in this shard.
     #[serde(rename = "r")]
     Reconcile { shard: Shard, running: Vec<u64> },
     /// Home to holder: the request may be sent to this server.
@@ -84,16 +85,16 @@
         address: SocketAddr,
         /// Forecast time to the first token, in milliseconds.
         first_token_ms: u64,
-        /// Whether the server names a limit, as far as the home knows.
+        /// Whether the home knows a rate limit of the server.
         limited: bool,
     },
-    /// Home to holder: the request waits, and no more is to be said of it yet.
+    /// Home to holder: the request still waits; sent in reply to a repeated offer.
     #[serde(rename = "q")]
     Queued { sequence: u64 },
-    /// Home to holder: another shard of the service, of this number, has places for the request.
+    /// Home to holder: the request should be offered to the service's shard number `to`, which has idle places.
     #[serde(rename = "m")]
     Move { sequence: u64, to: u16 },
-    /// Home to the home of another shard of the service: places that nobody waits for here.
+    /// Home to the home of another shard of the service: number of idle places not needed by waiting requests.
     #[serde(rename = "i")]
     Idle { shard: Shard, places: u32 },
     /// Home to holder: the request is refused.
@@ -104,124 +105,125 @@
         message: String,
         retry_after_ms: Option<u64>,
     },
-    /// Any host to any other: it is alive, and this is its state.
+    /// Any host to any other: heartbeat with the sender's state.
     #[serde(rename = "h")]
     Heartbeat {
         version: u64,
         draining: bool,
-        /// When that version was the newest, by the platform's clock in milliseconds.
+        /// Time at which that version was confirmed to be the newest, by the platform's clock in milliseconds.
         confirmed: Option<u64>,
-        /// Whether the platform gives it no answer.
+        /// Whether the platform does not answer the sender's calls.
         cut_off: bool,
-        /// How far it has read the host list itself, in the platform's own positions.
+        /// Positions up to which the sender has read the host list itself, as defined by the platform.
         list_read: Vec<u64>,
-        /// Whether it lately heard the host that this goes to.
+        /// Whether the sender recently received messages from the receiver.
         hears: bool,
-        /// Whether it has asked that host something and heard nothing: that host's link may be silent too.
+        /// Whether the sender reconnected because the receiver did not reply to a message: the receiver's own link may
+        /// have failed without an error, so it should reconnect too.
         doubts: bool,
-        /// A digest of its rulings on requests under which servers end.
+        /// Digest of the sender's quarantine rulings.
         rulings: u64,
     },
-    /// A host that follows the host list to any other: a change of it.
+    /// A host that watches the host list to any other: a change of the list.
     #[serde(rename = "l")]
     Listed {
-        /// The change, in the platform's own form.
+        /// The change, in the platform's own encoding.
         news: Vec<u8>,
-        /// How long ago the platform answered again after it was away, as the sender knows.
+        /// Milliseconds since the platform recovered from an outage, as observed by the sender.
         back_ms: Option<u64>,
     },
-    /// Host to an account's home: a request of the account asks to be admitted.
+    /// Host to an account's home: a request of the account needs admission.
     #[serde(rename = "c")]
     Charge {
         sequence: u64,
         account: Name,
         tokens: u32,
     },
-    /// An account's home to a host: what it says to a charge.
+    /// An account's home to a host: reply to a `Charge`.
     #[serde(rename = "d")]
     Charged { sequence: u64, word: Word },
-    /// Host to an account's home: a request that it admitted was not sent to a backend server.
+    /// Host to an account's home: refund for an admitted request that was not sent to a backend server.
     #[serde(rename = "b")]
     GiveBack { account: Name, tokens: u32 },
-    /// Host to an account's home: it admitted a request that the home refused too late.
+    /// Host to an account's home: the host admitted a request from its own share, before the home's refusal arrived.
     #[serde(rename = "s")]
     Spent { account: Name, tokens: u32 },
-    /// Any host to all others: a server ended while it ran a request.
+    /// Any host to all others: a server terminated while running a request.
     #[serde(rename = "e")]
     Ended(Ended),
-    /// Any host to all others: a request under which servers had ended was answered whole.
+    /// Any host to all others: a request under which servers had terminated received a complete answer.
     #[serde(rename = "k")]
     Answered { fingerprint: Fingerprint },
-    /// Any host to any other: which requests are kept from the servers, and which are let through again.
+    /// Any host to any other: which requests are quarantined, and which have been released.
     #[serde(rename = "j")]
     Rulings { rulings: Vec<Ruling> },
-    /// Host to the coordinator of a service's roll-out: what it sent, and how it was answered.
+    /// Host to the coordinator of a service's roll-out: numbers of requests sent and their results.
     #[serde(rename = "u")]
     Rollout {
         service: Name,
-        /// The order's number.
+        /// Number of the order.
         number: u64,
         report: rollout::Report,
     },
-    /// The coordinator of a service's roll-out to a host: what it is to do.
+    /// The coordinator of a service's roll-out to a host: instruction for routing the service's requests.
     #[serde(rename = "v")]
     RolloutWord(RolloutWord),
 }
 
-/// How a host knows how many requests a second a server takes.
+/// A server's rate limit, and how the reporting host learned it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Heard {
-    /// From the answer to a granted request; `None` where it names no limit.
+    /// Stated in the answer to a granted request; `None` if the answer states no limit.
     #[serde(rename = "a")]
     Now {
         sequence: u64,
         per_second: Option<f64>,
     },
-    /// From an answer some time ago, told to a home that may not know it.
+    /// Stated in an earlier answer, repeated for a home that may not know it.
     #[serde(rename = "e")]
     Earlier { per_second: f64, ago_ms: u64 },
 }
 
-/// What a host is to do in a service's roll-out.
+/// Instruction to a host in a service's roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RolloutWord {
     pub(crate) service: Name,
-    /// The order's number.
+    /// Number of the order.
     pub(crate) number: u64,
-    /// The version that it is about.
+    /// Version that is being rolled out.
     pub(crate) to: Name,
     pub(crate) word: rollout::Word,
 }
 
-/// What an account's home says to a charge.
+/// Reply of an account's home to a `Charge`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Word {
-    /// The request is within the limits, and was taken out of them.
+    /// The request is within the limits and has been charged.
     #[serde(rename = "w")]
     Within,
-    /// It is over a limit.
+    /// The request exceeds a limit.
     #[serde(rename = "o")]
     Over(Over),
-    /// No version in force there has the account.
+    /// The configuration in force at the home does not have the account.
     #[serde(rename = "u")]
     Unknown,
 }
 
-/// How an offer comes to its home.
+/// How an offer came to be sent to a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Made {
-    /// For the first time: it may be given to another shard.
+    /// First offer of the request; the home may redirect it to another shard.
     #[serde(rename = "f")]
     First,
-    /// From another shard that has given it away.
+    /// Redirected from another shard.
     #[serde(rename = "m")]
     Moved,
-    /// Once more, since its holder waits for a word.
+    /// Repeated, because the holder has received no reply.
     #[serde(rename = "a")]
     Again,
 }
 
-/// A request that asks for a server; times are relative, since clocks differ.
+/// A request that needs a server; times are relative, since the clocks of hosts differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Offer {
     pub(crate) shard: Shard,
@@ -233,21 +235,25 @@
     pub(crate) waited_ms: u64,
     pub(crate) left_ms: u64,
     pub(crate) first_token_ms: u64,
-    /// Longest pause between events that is on time, in milliseconds; 0 where there is no bound.
+    /// Maximum pause between events that counts as on time, in milliseconds; 0 for no limit.
     pub(crate) pause_ms: u64,
-    /// How many tokens its answer is likely to have; 0 where nothing is known of it.
+    /// Expected number of answer tokens; 0 if unknown.
     pub(crate) answer_tokens: u32,
-    /// Time until its whole answer is due, in milliseconds.
+    /// Time remaining until the complete answer is due, in milliseconds.
     pub(crate) whole_ms: u64,
-    /// The server that failed it, where one did.
+    /// Server on which the request failed before, if any.
     pub(crate) avoid: Option<Name>,
+    /// Whether the request is refused as soon as it is not expected to be served on time.
     pub(crate) early: bool,
+    /// Whether the request was refused before, or failed on a server; it then takes precedence.
     pub(crate) returning: bool,
+    /// Identifies the request if it is sent again after a refusal; `None` if nothing does.
     pub(crate) mark: Option<u64>,
+    /// Hash of the prompt's prefix, used to prefer a server that recently processed it.
     pub(crate) opening: Option<u64>,
 }
 
-/// Why bytes are no frame.
+/// Reason for which a frame is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     /// The frame is longer than allowed.
@@ -259,7 +265,7 @@
 }
 
 impl Message {
-    /// The message that tells a holder of a refusal.
+    /// Creates the message that refuses a request.
     pub(crate) fn refuse(sequence: u64, reason: &Reason) -> Self {
         let retry_after_ms = reason
             .retry_after
@@ -273,7 +279,7 @@
     }
 }
 
-/// The reason in a refusal that a home sent.
+/// Reconstructs the reason of a refusal from the fields of a `Refuse` message.
 pub(crate) fn reason(code: Code, message: String, retry_after_ms: Option<u64>) -> Reason {
     Reason {
         code,
@@ -282,10 +288,10 @@
     }
 }
 
-/// Packs messages into a frame.
+/// Encodes messages as a frame.
 ///
 /// # Panics
-/// When a message has no `MessagePack` form, which is a fault of the program.
+/// Panics if a message cannot be encoded, which is a bug.
 pub(crate) fn pack(messages: &[Message]) -> Vec<u8> {
     let body = rmp_serde::to_vec(messages).expect("plain values have a MessagePack form");
     let length = u32::try_from(body.len()).expect("a frame is far shorter than 4 GiB");
@@ -295,10 +301,10 @@
     frame
 }
 
-/// Reads the length of the frame that follows.
+/// Decodes the length of the frame that follows.
 ///
 /// # Errors
-/// When it is longer than allowed.
+/// Fails if the length exceeds `FRAME_BYTES_MAX`.
 pub(crate) fn length(bytes: [u8; LENGTH_BYTES]) -> Result<usize, Error> {
     let length = u32::from_be_bytes(bytes) as usize;
     if length > FRAME_BYTES_MAX {
@@ -307,10 +313,10 @@
     Ok(length)
 }
 
-/// Unpacks the messages of a frame without its length.
+/// Decodes the messages in the body of a frame, without its length.
 ///
 /// # Errors
-/// When the frame does not parse.
+/// Fails if the body is malformed.
 pub(crate) fn unpack(body: &[u8]) -> Result<Vec<Message>, Error> {
     Ok(rmp_serde::from_slice(body)?)
 }
--- a/cypressvane/src/protocol/message_tests.rs
+++ b/cypressvane/src/protocol/message_tests.rs
@@ -1,4 +1,4 @@
-//! Frames between hosts: there and back, and whatever else comes.
+//! Encoding and decoding of frames between hosts, including malformed input.
 
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_is_told_keeps_its_moments() {
+fn ended_and_ruling_keep_their_times() {
     let now = Instant::now();
     let ago = |ms| {
         now.checked_sub(Duration::from_millis(ms))
@@ -221,16 +221,19 @@
 }
 
 #[test]
-fn a_frame_comes_back_as_it_went() {
+fn a_frame_survives_a_round_trip() {
     let frame = pack(&messages());
     let (head, body) = frame.split_at(LENGTH_BYTES);
     let announced = length(head.try_into().expect("four bytes")).expect("a short frame");
     assert_eq!(announced, body.len());
-    assert_eq!(unpack(body).expect("its own frame"), messages());
+    assert_eq!(
+        unpack(body).expect("a frame that was just encoded"),
+        messages()
+    );
 }
 
 #[test]
-fn a_frame_that_is_too_long_is_refused_before_it_is_read() {
+fn a_frame_that_is_too_long_is_refused_before_its_body_is_read() {
     let longest = u32::try_from(FRAME_BYTES_MAX).expect("a small limit");
     assert!(length(longest.to_be_bytes()).is_ok());
     assert!(length((longest + 1).to_be_bytes()).is_err());
@@ -238,7 +241,7 @@
 }
 
 #[test]
-fn any_bytes_are_unpacked_or_refused_without_a_panic() {
+fn arbitrary_bytes_are_decoded_or_refused_without_a_panic() {
     #[allow(clippy::needless_pass_by_value, reason = "quickcheck takes values")]
     fn property(bytes: Vec<u8>, at: usize, with: u8) -> bool {
         let _ = unpack(&bytes);
--- a/cypressvane/src/protocol/mod.rs
+++ b/cypressvane/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! What is said: refusals, the request's life cycle, request bodies, messages between hosts, dumps.
+//! Message formats: refusals, headers, request bodies, messages between hosts and state dumps; and the request's
+//! life cycle.
 
 pub mod dump;
 pub mod events;
--- a/cypressvane/src/protocol/prompt.rs
+++ b/cypressvane/src/protocol/prompt.rs
@@ -1,14 +1,14 @@
-//! What the scheduler needs to know of a completion request.
+//! Extracts the properties of a completion request that the scheduler needs.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Bytes of text that make about one token; the engines' own count corrects the learnt speeds.
+/// Approximate number of text bytes per token; learned engine speeds absorb the difference from the true count.
 const BYTES_PER_TOKEN: usize = 4;
-/// Answer tokens assumed when the caller sets no limit.
+/// Answer tokens assumed if the caller sets no limit.
 const ANSWER_TOKENS_DEFAULT: u32 = 256;
 
-/// Which completion call was made.
+/// Endpoint of a completion request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `/v1/completions`.
@@ -17,23 +17,23 @@
     Chat,
 }
 
-/// The facts of a completion request.
+/// Properties of a completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model, which names the service.
+    /// Name of the model, which is also the name of the service.
     pub model: String,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Estimated prompt tokens, at least 1.
+    /// Estimated number of prompt tokens, at least 1.
     pub prompt_tokens: u32,
-    /// Most answer tokens.
+    /// Maximum number of answer tokens.
     pub answer_tokens: u32,
 }
 
-/// Why a body is no completion request.
+/// Reason for which a body is not a valid completion request.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The body is not JSON of the right shape.
+    /// The body is not JSON, or its fields have the wrong types.
     #[error("the body is not a completion request: {0}")]
     Syntax(#[from] serde_json::Error),
     /// The field that carries the prompt is missing.
@@ -59,10 +59,10 @@
 }
 
 impl Prompt {
-    /// Reads the facts from a body.
+    /// Parses the body of a completion request.
     ///
     /// # Errors
-    /// Says what is wrong with the body.
+    /// Fails if the body does not parse or has no prompt.
     pub fn parse(call: Call, body: &[u8]) -> Result<Self, Error> {
         let body: Body = serde_json::from_slice(body)?;
         let text_bytes = match call {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Counts the bytes of text in a prompt; a number is one token of a prompt given as tokens.
+/// Counts the bytes of text in a prompt; a number stands for one token of a tokenized prompt.
 fn text_bytes(value: &Value) -> usize {
     match value {
         Value::String(text) => text.len(),
--- a/cypressvane/src/protocol/request.rs
+++ b/cypressvane/src/protocol/request.rs
@@ -1,39 +1,39 @@
 //! The life cycle of a request, as a typestate.
 //!
-//! `Received` → `Waiting` → `Dispatched`. The boundary is the first byte handed to a backend
-//! connection: only a request before it can be refused as "not run". Behind it, the way back to
-//! `Waiting` needs a server's statement that it did not run; a request that may run more than once
-//! can become `Repeating`, which is never refused as "not run".
+//! `Received` → `Waiting` → `Dispatched`. The transition to `Dispatched` is the first byte handed to a backend
+//! connection: before it, a request can be refused as "not run". After it, refusing it as "not run" or returning it to
+//! `Waiting` requires the server's statement that it did not run the request. A request that may run more than once can
+//! instead become `Repeating`, which is never refused as "not run".
 
 use crate::protocol::exchange::Reply;
 use crate::protocol::refusal::{Code, Ran, Reason, Refusal};
 use crate::state::clock::Instant;
 
-/// Bytes of randomness in a request id.
+/// Number of random bytes in a request id.
 const ID_BYTES: usize = 12;
 
-/// Its head has been read.
+/// State: the request's head has been read.
 #[derive(Debug)]
 pub(crate) struct Received;
 
-/// It has been checked and waits for a backend server.
+/// State: the request has been validated and waits for a backend server.
 #[derive(Debug)]
 pub(crate) struct Waiting;
 
-/// It has been handed to a backend server.
+/// State: the request has been sent to a backend server.
 #[derive(Debug)]
 pub(crate) struct Dispatched {
-    /// When it was handed over.
+    /// Time at which the request was sent.
     pub(crate) at: Instant,
-    /// Whether an earlier server may have run it.
-    before: bool,
+    /// Whether an earlier server may have run the request.
+    may_have_run: bool,
 }
 
-/// It was handed to a backend server, may run once more, and waits for another.
+/// State: the request was sent to a backend server, may run again and waits for another server.
 #[derive(Debug)]
 pub(crate) struct Repeating;
 
-/// A state in which no backend server has seen the request.
+/// A state in which no backend server has run the request.
 pub(crate) trait Unsent {}
 
 impl Unsent for Received {}
@@ -44,38 +44,41 @@
 pub(crate) struct NotRun(());
 
 impl NotRun {
-    /// The proof in an answer's head, if it is there.
+    /// Returns the proof if the answer states that the request did not run.
     pub(crate) fn stated_in(reply: &Reply) -> Option<Self> {
         reply.not_run.then_some(Self(()))
     }
 }
 
-/// A request that waits for a backend server, for the first time or again.
+/// A request that waits for a backend server, for its first run or for a retry.
 #[derive(Debug)]
 pub(crate) enum Turn {
-    /// It has not run.
+    /// The request has not run.
     First(Request<Waiting>),
-    /// It may have run.
+    /// The request may have run.
     Again(Request<Repeating>),
 }
 
 impl Turn {
-    /// Crosses the boundary: from here on the request may have run.
+    /// Marks the request as sent; from this point on it may have run.
     pub(crate) fn dispatch(self, at: Instant) -> Request<Dispatched> {
         match self {
             Self::First(request) => request.dispatch(at),
             Self::Again(request) => Request {
                 id: request.id,
                 arrived: request.arrived,
-                state: Dispatched { at, before: true },
+                state: Dispatched {
+                    at,
+                    may_have_run: true,
+                },
             },
         }
     }
 
-    /// Ends the request without another sending.
+    /// Refuses the request without sending it again.
     pub(crate) fn refuse(self, reason: Reason) -> Refusal {
         match self {
-            // The caller sent it before, under another id.
+            // The caller has sent the same request before under another id, and it may have run.
             Self::First(request) if reason.code == Code::EndsServers => request.duplicate(reason),
             Self::First(request) => request.refuse(reason),
             Self::Again(request) => Refusal::new(reason, Ran::Unknown, request.id),
@@ -86,16 +89,16 @@
 /// A request in state `S`.
 #[derive(Debug)]
 pub(crate) struct Request<S> {
-    /// Unique; stands in every answer, log line and call to a backend server.
+    /// Unique id, included in every answer, log line and call to a backend server.
     pub(crate) id: String,
-    /// When its head had been read.
+    /// Time at which the request's head had been read.
     pub(crate) arrived: Instant,
-    /// What is known only in this state.
+    /// Data specific to the state.
     pub(crate) state: S,
 }
 
 impl Request<Received> {
-    /// Takes in a new request under a fresh id.
+    /// Creates a request with a new id.
     pub(crate) fn receive(arrived: Instant) -> Self {
         Self {
             id: fresh_id(),
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Takes in a new request under the id that its caller gave it.
+    /// Creates a request with the id given by its caller.
     pub(crate) fn receive_as(id: String, arrived: Instant) -> Self {
         Self {
             id,
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Lets a checked request wait.
+    /// Marks the request as validated and waiting for a server.
     pub(crate) fn wait(self) -> Request<Waiting> {
         Request {
             id: self.id,
@@ -124,32 +127,35 @@
 }
 
 impl Request<Waiting> {
-    /// Crosses the boundary: from here on the request may have run.
+    /// Marks the request as sent; from this point on it may have run.
     pub(crate) fn dispatch(self, at: Instant) -> Request<Dispatched> {
         Request {
             id: self.id,
             arrived: self.arrived,
-            state: Dispatched { at, before: false },
+            state: Dispatched {
+                at,
+                may_have_run: false,
+            },
         }
     }
 }
 
 impl<S: Unsent> Request<S> {
-    /// Ends the request unsent.
+    /// Refuses the request, which has not run.
     pub(crate) fn refuse(self, reason: Reason) -> Refusal {
         Refusal::new(reason, Ran::No, self.id)
     }
 
-    /// Ends the request unsent because the same one was sent before, under another id, and may have run.
+    /// Refuses the request because the same one was sent before under another id and may have run.
     pub(crate) fn duplicate(self, reason: Reason) -> Refusal {
         Refusal::new(reason, Ran::Unknown, self.id)
     }
 }
 
 impl Request<Dispatched> {
-    /// Goes back behind the boundary, since the server has stated that it did not run it.
+    /// Returns the request to waiting after the server stated that it did not run it.
     pub(crate) fn returned(self, _proof: NotRun) -> Turn {
-        if self.state.before {
+        if self.state.may_have_run {
             return self.repeat();
         }
         Turn::First(Request {
@@ -159,9 +165,9 @@
         })
     }
 
-    /// Ends the request, which the server has stated that it did not run.
+    /// Refuses the request after the server stated that it did not run it.
     pub(crate) fn refuse_unrun(&self, _proof: NotRun, reason: Reason) -> Refusal {
-        let ran = if self.state.before {
+        let ran = if self.state.may_have_run {
             Ran::Unknown
         } else {
             Ran::No
@@ -169,7 +175,7 @@
         Refusal::new(reason, ran, self.id.clone())
     }
 
-    /// Waits for another server; only for requests that may run more than once.
+    /// Returns the request to waiting for another server; only for requests that may run more than once.
     pub(crate) fn repeat(self) -> Turn {
         Turn::Again(Request {
             id: self.id,
@@ -178,18 +184,18 @@
         })
     }
 
-    /// Ends the request without a whole answer.
+    /// Fails the request, for which no complete answer was received.
     pub(crate) fn fail(&self, reason: Reason) -> Refusal {
         Refusal::new(reason, Ran::Unknown, self.id.clone())
     }
 }
 
-/// Draws a fresh id: 24 hexadecimal digits.
+/// Generates a random id of 24 hexadecimal digits.
 ///
 /// # Panics
-/// When the system has no randomness, without which no id is unique.
+/// Panics if the system's random number generator fails, since ids would not be unique.
 pub(crate) fn fresh_id() -> String {
     let mut bytes = [0; ID_BYTES];
-    getrandom::fill(&mut bytes).expect("the system gives randomness");
+    getrandom::fill(&mut bytes).expect("the system provides random numbers");
     hex::encode(bytes)
 }
--- a/cypressvane/src/protocol/ruling.rs
+++ b/cypressvane/src/protocol/ruling.rs
@@ -1,6 +1,6 @@
-//! What hosts tell each other, the table service and operators of requests under which servers end.
+//! Quarantine data exchanged between hosts and stored in the table service.
 //!
-//! Times are relative, since clocks differ.
+//! Times are sent as ages, since the clocks of hosts differ.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::state::name::Name;
 use crate::state::units::millis_since;
 
-/// A moment that was told as so long ago; one beyond what the clock can name is as good as now's.
-fn ago(ms: u64, now: Instant) -> Instant {
+/// Returns the time `ms` milliseconds before `now`; `now` itself if the clock cannot represent that time.
+fn time_before(ms: u64, now: Instant) -> Instant {
     now.checked_sub(Duration::from_millis(ms)).unwrap_or(now)
 }
 
-/// A server that ended while it ran a request.
+/// Report that a backend server terminated while running a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Ended {
     pub(crate) fingerprint: Fingerprint,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The same in the time of the host that hears it.
+    /// Converts the report to the receiving host's clock.
     pub(crate) fn heard(self, now: Instant) -> (Subject, End) {
         let subject = Subject {
             account: self.account,
@@ -56,14 +56,14 @@
         let end = End {
             id: self.id,
             server: self.server,
-            sent: ago(self.sent_ago_ms, now),
-            ended: ago(self.over_ago_ms, now),
+            sent: time_before(self.sent_ago_ms, now),
+            ended: time_before(self.over_ago_ms, now),
         };
         (subject, end)
     }
 }
 
-/// Whether a request is kept from the servers.
+/// Ruling on whether a request is quarantined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Ruling {
     fingerprint: Fingerprint,
@@ -75,6 +75,7 @@
 }
 
 impl Ruling {
+    /// Converts a ruling from this host's clock to an age, to be sent or stored.
     pub(crate) fn told(ruling: &quarantine::Ruling, now: Instant) -> Self {
         Self {
             fingerprint: ruling.fingerprint,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The same when more time has passed.
+    /// Returns the ruling with `passed_ms` added to its age.
     pub(crate) fn aged(self, passed_ms: u64) -> Self {
         Self {
             age_ms: self.age_ms.saturating_add(passed_ms),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The same in the time of the host that hears it.
+    /// Converts the ruling to the receiving host's clock.
     pub(crate) fn heard(self, now: Instant) -> quarantine::Ruling {
         quarantine::Ruling {
             fingerprint: self.fingerprint,
@@ -104,7 +105,7 @@
             },
             version: self.version,
             servers: self.servers,
-            since: ago(self.age_ms, now),
+            since: time_before(self.age_ms, now),
         }
     }
 }
--- a/cypressvane/src/state/config/engines.rs
+++ b/cypressvane/src/state/config/engines.rs
@@ -1,4 +1,4 @@
-//! The section `[engines]`: initial estimates for model engines without observed responses, and placement costs.
+//! The section `[engines]`: initial estimates for model engines without observed answers, and placement costs.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::{Error, check_range};
 
-/// Initial estimates for a server that has not responded yet, and placement costs.
+/// Initial estimates for a server that has not answered yet, and placement costs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Belief {
     /// Prefill rate, in prompt tokens per second.
--- a/cypressvane/src/state/config/limits.rs
+++ b/cypressvane/src/state/config/limits.rs
@@ -10,11 +10,11 @@
 pub struct Limits {
     /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Maximum size of a response that is buffered completely before it is forwarded, in bytes.
+    /// Maximum size of an answer that is buffered completely before it is forwarded, in bytes.
     pub answer_bytes: u64,
     /// Maximum number of open connections per listener.
     pub connections: u64,
-    /// Maximum number of queued requests per pool.
+    /// Maximum number of waiting requests per pool.
     pub waiting: u64,
 }
 
--- a/cypressvane/src/state/config/platform.rs
+++ b/cypressvane/src/state/config/platform.rs
@@ -45,7 +45,7 @@
     Adapter,
 }
 
-/// Safety margin subtracted from the key lease, in milliseconds; it covers responses in flight and coarse clocks.
+/// Safety margin subtracted from the key lease, in milliseconds; it covers answers in flight and coarse clocks.
 const KEY_LEASE_MARGIN_MS: u64 = 100;
 
 impl Platform {
--- a/cypressvane/src/state/config/quarantine.rs
+++ b/cypressvane/src/state/config/quarantine.rs
@@ -9,7 +9,7 @@
 #[serde(default)]
 pub struct Quarantine {
     /// Number of servers that must terminate while running the request, one after the other and without a complete
-    /// response in between, before the request is quarantined; 0 disables the quarantine.
+    /// answer in between, before the request is quarantined; 0 disables the quarantine.
     pub ends: u64,
     /// Duration of the quarantine, and how long a server's termination is counted, in milliseconds.
     pub kept_ms: u64,
--- a/cypressvane/src/state/config/timeouts.rs
+++ b/cypressvane/src/state/config/timeouts.rs
@@ -14,7 +14,7 @@
 #[serde(default)]
 pub struct Timeouts {
     /// How long a request may wait on a starting host until a configuration is in force and the host list and the
-    /// quarantine rulings have been read; that takes 10 to 35 ms while the platform responds.
+    /// quarantine rulings have been read; that takes 10 to 35 ms while the platform answers.
     pub start_ms: u64,
     /// Time from the first byte of a request to the end of its head.
     pub head_ms: u64,
@@ -22,7 +22,7 @@
     pub body_ms: u64,
     /// How long a keep-alive connection may stay idle.
     pub idle_ms: u64,
-    /// How long a client may accept no byte of a response.
+    /// How long a client may accept no byte of an answer.
     pub write_ms: u64,
     /// How long a backend server may take to accept a connection.
     pub connect_ms: u64,
@@ -30,7 +30,7 @@
     pub silence_ms: u64,
     /// How long new connections are still accepted after SIGTERM, so that the load balancer can detect the shutdown.
     pub grace_ms: u64,
-    /// How long queued and running requests may take to finish after the grace period.
+    /// How long waiting and running requests may take to finish after the grace period.
     pub drain_ms: u64,
     /// Interval between heartbeats to another host.
     pub heartbeat_ms: u64,
--- a/cypressvane/src/state/fleet/mod.rs
+++ b/cypressvane/src/state/fleet/mod.rs
@@ -32,7 +32,7 @@
     pub first_token_ms: u64,
     /// Target time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// Default deadline for requests without one: time from arrival to the complete response, in milliseconds.
+    /// Default deadline for requests without one: time from arrival to the complete answer, in milliseconds.
     #[serde(default = "Tier::default_deadline_ms")]
     pub deadline_ms: u64,
     /// Whether a request that has already missed its first-token target is refused instead of answered late.
@@ -74,7 +74,7 @@
     /// Tokens charged for a request that does not state a number; 1 when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub plain_tokens: Option<u32>,
-    /// Limit on concurrent requests, queued or running; unlimited when absent.
+    /// Limit on concurrent requests, waiting or running; unlimited when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub in_flight: Option<u32>,
 }
--- a/cypressvane/src/state/fleet/route.rs
+++ b/cypressvane/src/state/fleet/route.rs
@@ -8,7 +8,7 @@
 
 use crate::state::name::Name;
 
-/// Retry semantics of a route's requests after an incomplete response; unrelated to the HTTP method.
+/// Retry semantics of a route's requests after an incomplete answer; unrelated to the HTTP method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Method {
@@ -16,14 +16,14 @@
     Idempotent,
     /// The request may run at most once.
     NonIdempotent,
-    /// The response is a stream of numbered events; the request may run at most once.
+    /// The answer is a stream of numbered events; the request may run at most once.
     Stream,
-    /// The response is a stream of numbered events that another server can resume after any event.
+    /// The answer is a stream of numbered events that another server can resume after any event.
     ResumableStream,
 }
 
 impl Method {
-    /// Returns whether the response is a stream of events.
+    /// Returns whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
@@ -62,12 +62,12 @@
     pub method: Method,
     /// Tier of requests, unless their account's tier takes precedence (`Account::outranks_routes`).
     pub tier: Name,
-    /// Latency objective for a response, or for the first event of a stream, in milliseconds.
+    /// Latency objective for an answer, or for the first event of a stream, in milliseconds.
     pub objective_ms: u64,
     /// Maximum pause between events of a stream that still counts as on time, in milliseconds.
     #[serde(default)]
     pub gap_ms: u64,
-    /// Maximum time to the complete response, in milliseconds.
+    /// Maximum time to the complete answer, in milliseconds.
     pub timeout_ms: u64,
     /// Maximum number of backend servers to which one request is sent.
     pub attempts: u32,
@@ -83,7 +83,7 @@
         Duration::from_millis(self.objective_ms)
     }
 
-    /// Returns the maximum time to the complete response.
+    /// Returns the maximum time to the complete answer.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
--- a/cypressvane/src/state/manifest.rs
+++ b/cypressvane/src/state/manifest.rs
@@ -37,7 +37,7 @@
     pub version: u64,
     /// Digest of the manifest.
     pub manifest: String,
-    /// Unique for each submission; lets a writer whose write response was lost detect whether its write succeeded.
+    /// Unique for each submission; lets a writer that received no answer detect whether its write succeeded.
     pub submission: String,
     /// Operator who submitted it.
     pub author: String,
--- a/cypressvane/src/state/order.rs
+++ b/cypressvane/src/state/order.rs
@@ -126,7 +126,7 @@
     pub newest: Numbered,
     /// Progress of the order.
     pub stage: Stage,
-    /// Unique for each order; lets an issuer whose write response was lost detect whether its write succeeded.
+    /// Unique for each order; lets an issuer that received no answer to its write detect whether the write succeeded.
     pub id: String,
     /// Operator who gave the order.
     pub operator: String,
--- a/cypressvane/src/state/platform.rs
+++ b/cypressvane/src/state/platform.rs
@@ -14,7 +14,7 @@
 use crate::state::name::Name;
 use crate::state::rollout::{Order, Progress};
 
-/// Default interval between reads of a host list that responds immediately instead of waiting for a change.
+/// Default interval between reads of a host list that answers immediately instead of waiting for a change.
 const HOST_LIST_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A boxed future; it keeps the traits dyn-compatible.
@@ -53,10 +53,10 @@
     /// The call did not reach the platform and had no effect.
     #[error("the platform cannot be reached: {0}")]
     Unreachable(String),
-    /// The response was lost; the call may have taken effect.
+    /// The answer was lost; the call may have taken effect.
     #[error("the platform's answer was lost: {0}")]
     Lost(String),
-    /// The platform's response was not understood.
+    /// The platform's answer was not understood.
     #[error("the platform answered {0}")]
     Unexpected(String),
 }
@@ -266,7 +266,7 @@
     /// the offset of the platform's clock is not known.
     fn moment(&self, stamp: u64) -> Option<Instant>;
 
-    /// Returns the time at which the platform last responded to any call of this host; `None` if not known.
+    /// Returns the time at which the platform last answered any call of this host; `None` if not known.
     fn answered(&self) -> Option<Instant> {
         None
     }
--- a/cypressvane/src/state/reason.rs
+++ b/cypressvane/src/state/reason.rs
@@ -32,15 +32,15 @@
     Overloaded,
     /// The request is not expected to be answered within its deadline.
     DeadlineUnreachable,
-    /// The deadline passed while the request was queued.
+    /// The deadline passed while the request waited.
     DeadlinePassed,
     /// No backend server of the service accepts requests.
     NoServer,
     /// This host has no configuration yet.
     NotReady,
-    /// A platform service that the request depends on does not respond.
+    /// A platform service that the request depends on does not answer.
     PlatformUnavailable,
-    /// The response of a platform service was lost; the change may have taken effect.
+    /// The answer of a platform service was lost; the change may have taken effect.
     OutcomeUnknown,
     /// Too many connections are open.
     TooManyConnections,
@@ -50,11 +50,11 @@
     Conflict,
     /// The submitted document fails validation.
     Rejected,
-    /// The backend server's response was interrupted.
+    /// The backend server's answer was interrupted.
     BackendFailed,
     /// The backend server sent no data for too long, or the deadline passed while the request was running.
     BackendSilent,
-    /// The backend server responded to a different request.
+    /// The backend server answered a different request.
     AnswerMismatch,
     /// Several backend servers terminated while running the request, so it is quarantined.
     EndsServers,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the code as it appears in responses, logs and metrics.
+    /// Returns the code as it appears in answers, logs and metrics.
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Creates the reason for a request whose deadline passed while it was queued.
+    /// Creates the reason for a request whose deadline passed while it waited.
     pub(crate) fn deadline_passed() -> Self {
         let message = "the deadline passed while the request waited";
         Self::new(Code::DeadlinePassed, message)
--- a/cypressvane/src/state/rollout.rs
+++ b/cypressvane/src/state/rollout.rs
@@ -89,6 +89,6 @@
     /// Upper bound on the requests allotted to the new version so far. If a coordinator is lost, the part that it
     /// had not handed out is forfeited, so that no request is allotted twice.
     pub allotted: u64,
-    /// Complete responses of the new version by route, so that the evidence survives the loss of the coordinator.
+    /// Complete answers of the new version by route, so that the evidence survives the loss of the coordinator.
     pub answers: BTreeMap<Name, u64>,
 }
