--- a/cypressvane/src/protocol/dump.rs
+++ b/cypressvane/src/protocol/dump.rs
@@ -111,7 +111,8 @@
     pub version: u64,
     /// Digest of the configuration's manifest.
     pub digest: String,
-    /// Milliseconds since the head row was last read from the table service; `None` if never.
+    /// Milliseconds since the configuration in force was last confirmed to be the newest, by a read of the table service
+    /// or of the configuration store, on this host or another one; `None` if never.
     pub table_read_ms_ago: Option<u64>,
 }
 
