--- a/cypressvane/src/transport/accounts.rs
+++ b/cypressvane/src/transport/accounts.rs
@@ -1,4 +1,4 @@
-//! The limits of client accounts: each account's home is asked, and answers with what it gives out.
+//! Account limits: a request is charged at its account's home or, if the home does not reply, to this host's own share.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,16 +19,16 @@
 use crate::transport::peers::links::Links;
 use crate::transport::runtime::{lock, within};
 
-/// How long a request waits for its account's home before this host looks at its own part: ten times
-/// a round trip between data centres, and well within the shortest objective (100 ms).
-const ANSWER_SOON: Duration = Duration::from_millis(40);
-/// How much longer one waits that is not within this host's own part: together less than a quarter
-/// of the objective of model requests (800 ms).
-const ANSWER_LATE: Duration = Duration::from_millis(120);
-/// How long an answer that comes too late is still of use.
-const SETTLED_FOR: Duration = Duration::from_secs(5);
+/// How long a request waits for its account's home before this host charges its own share: ten round trips between
+/// data centres, and well within the shortest objective (100 ms).
+const HOME_TIMEOUT: Duration = Duration::from_millis(40);
+/// How much longer a request waits for the home if this host's own share refuses it. Both waits together are less than
+/// a quarter of the objective of model requests (800 ms).
+const EXTRA_HOME_TIMEOUT: Duration = Duration::from_millis(120);
+/// How long a late reply from a home is still processed.
+const LATE_REPLY_TTL: Duration = Duration::from_secs(5);
 
-/// The limits of client accounts, as this host keeps them together with the others.
+/// The account limits that this host enforces together with the other hosts.
 #[derive(Debug)]
 pub(crate) struct Accounts {
     me: Name,
@@ -36,68 +36,68 @@
     log: Logger,
     ledger: Mutex<Ledger>,
     in_flight: Mutex<InFlight>,
-    /// Questions to homes by number.
-    asked: Mutex<HashMap<u64, Asked>>,
-    next: AtomicU64,
+    /// Charges requested from homes, by sequence number.
+    pending: Mutex<HashMap<u64, ChargeState>>,
+    next_sequence: AtomicU64,
 }
 
-/// What a request was given out of its account's limits.
+/// A request's charge against its account's limits.
 #[derive(Debug)]
 pub(crate) struct Charge {
     tokens: u32,
-    /// The host that gave it out as the account's home; `None` where a host gave out its own part, or
-    /// the account has no such limit.
+    /// The home that granted the charge; `None` if this host charged its own share, or the account has no limit that
+    /// needs a charge.
     home: Option<Name>,
 }
 
-/// A question to an account's home.
+/// The state of a charge that was requested from an account's home.
 #[derive(Debug)]
-enum Asked {
-    /// Its request waits for the answer.
+enum ChargeState {
+    /// The request waits for the reply.
     Waiting(Sender<Word>),
-    /// This host gave out of its own part instead, and owes the home that if it answers with a no.
-    Settled {
+    /// This host charged its own share instead, and reports that to the home as spent if the home refuses the charge.
+    ChargedLocally {
         home: Name,
         account: Name,
         tokens: u32,
         at: Instant,
-        /// Whether the link to the home was doubted for it.
-        doubted: bool,
+        /// Whether the link to the home was reconnected because the reply did not come.
+        is_reconnected: bool,
     },
 }
 
-/// A question whose answer is waited for; dropping it gives it up.
-struct Question<'a> {
+/// A requested charge whose reply is awaited; dropping it abandons the wait.
+struct PendingCharge<'a> {
     accounts: &'a Accounts,
     sequence: u64,
     home: Name,
-    words: Receiver<Word>,
+    replies: Receiver<Word>,
 }
 
-impl Question<'_> {
-    async fn word(&self) -> Option<Word> {
-        self.words.recv().await.ok()
+impl PendingCharge<'_> {
+    async fn reply(&self) -> Option<Word> {
+        self.replies.recv().await.ok()
     }
 
-    /// The request goes on without an answer.
-    fn settle(&self, account: &Account, tokens: u32) {
-        if let Some(asked) = lock(&self.accounts.asked).get_mut(&self.sequence) {
-            *asked = Asked::Settled {
+    /// Records that the request continues on this host's own share, without a reply.
+    fn mark_charged_locally(&self, account: &Account, tokens: u32) {
+        if let Some(pending) = lock(&self.accounts.pending).get_mut(&self.sequence) {
+            *pending = ChargeState::ChargedLocally {
                 home: self.home.clone(),
                 account: account.name.clone(),
                 tokens,
                 at: Instant::now(),
-                doubted: false,
+                is_reconnected: false,
             };
         }
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingCharge<'_> {
     fn drop(&mut self) {
-        let mut asked = lock(&self.accounts.asked);
-        if matches!(asked.get(&self.sequence), Some(Asked::Waiting(_))) {
-            asked.remove(&self.sequence);
+        let mut pending = lock(&self.accounts.pending);
+        if matches!(pending.get(&self.sequence), Some(ChargeState::Waiting(_))) {
+            pending.remove(&self.sequence);
         }
     }
 }
@@ -111,12 +111,12 @@
             log,
             ledger: Mutex::new(ledger),
             in_flight: Mutex::default(),
-            asked: Mutex::default(),
-            next: AtomicU64::new(1),
+            pending: Mutex::default(),
+            next_sequence: AtomicU64::new(1),
         }
     }
 
-    /// Takes a request in, which is to be released when it ends, or says which limit it is over.
+    /// Admits a request, which must be released when it ends, or returns the limit that the request exceeds.
     pub(crate) async fn admit(
         &self,
         request_id: &str,
@@ -126,7 +126,7 @@
         let hosts = self.links.hosts();
         let in_flight = lock(&self.in_flight).check(account, hosts);
         let admitted = match in_flight {
-            Ok(()) => self.spend(request_id, account, tokens).await,
+            Ok(()) => self.charge_account(request_id, account, tokens).await,
             Err(over) => Err(over),
         };
         if admitted.is_err() {
@@ -148,13 +148,13 @@
         Ok(Charge { tokens, home })
     }
 
-    /// Counts a request as ended.
+    /// Removes an ended request from the requests in flight.
     pub(crate) fn release(&self, account: &Name) {
         lock(&self.in_flight).leave(account);
     }
 
-    /// Has a request taken out of its account's buckets, and says which home gave it out, if one did.
-    async fn spend(
+    /// Charges a request to its account's buckets and returns the home that granted the charge, if one did.
+    async fn charge_account(
         &self,
         request_id: &str,
         account: &Account,
@@ -166,60 +166,61 @@
         let home = self.links.home_of(&account.name);
         if home == self.me {
             return self
-                .give_out(account, tokens, Instant::now())
+                .charge_locally(account, tokens, Instant::now())
                 .map(|()| Some(home));
         }
-        let question = self.ask(home, account, tokens);
-        let word = within(ANSWER_SOON, question.word()).await.flatten();
-        match word {
-            Some(Word::Within) => return Ok(Some(question.home.clone())),
+        let pending = self.request_charge(home, account, tokens);
+        let reply = within(HOME_TIMEOUT, pending.reply()).await.flatten();
+        match reply {
+            Some(Word::Within) => return Ok(Some(pending.home.clone())),
             Some(Word::Over(over)) => return Err(over),
             Some(Word::Unknown) | None => {}
         }
-        let own = self.give_out(account, tokens, Instant::now());
+        let local = self.charge_locally(account, tokens, Instant::now());
         slog::info!(
             self.log, "the account's home gave no answer in time";
             "request_id" => request_id,
             "account" => &*account.name,
-            "home" => &*question.home,
-            "answered" => word.is_some(),
-            "within_own_part" => own.is_ok(),
+            "home" => &*pending.home,
+            "answered" => reply.is_some(),
+            "within_own_part" => local.is_ok(),
         );
-        let Err(over) = own else {
-            question.settle(account, tokens);
+        let Err(over) = local else {
+            pending.mark_charged_locally(account, tokens);
             return Ok(None);
         };
-        match within(ANSWER_LATE, question.word()).await.flatten() {
-            Some(Word::Within) => Ok(Some(question.home.clone())),
+        match within(EXTRA_HOME_TIMEOUT, pending.reply()).await.flatten() {
+            Some(Word::Within) => Ok(Some(pending.home.clone())),
             Some(Word::Over(over)) => Err(over),
             Some(Word::Unknown) => Err(over),
             None => {
-                self.doubt(&question.home, Instant::now());
+                self.reconnect(&pending.home, Instant::now());
                 Err(over)
             }
         }
     }
 
-    fn ask(&self, home: Name, account: &Account, tokens: u32) -> Question<'_> {
-        let (sender, words) = async_channel::bounded(1);
-        let sequence = self.next.fetch_add(1, Ordering::Relaxed);
-        lock(&self.asked).insert(sequence, Asked::Waiting(sender));
+    fn request_charge(&self, home: Name, account: &Account, tokens: u32) -> PendingCharge<'_> {
+        let (sender, replies) = async_channel::bounded(1);
+        let sequence = self.next_sequence.fetch_add(1, Ordering::Relaxed);
+        lock(&self.pending).insert(sequence, ChargeState::Waiting(sender));
         let charge = Message::Charge {
             sequence,
             account: account.name.clone(),
             tokens,
         };
         self.links.send(&home, charge);
-        Question {
+        PendingCharge {
             accounts: self,
             sequence,
             home,
-            words,
+            replies,
         }
     }
 
-    /// Gives out for all hosts that are heard, as an account's home, or else of this host's own part.
-    fn give_out(&self, account: &Account, tokens: u32, now: Instant) -> Result<(), Over> {
+    /// Charges this host's ledger: as the account's home for all hosts that it receives heartbeats from, otherwise only
+    /// for its own share.
+    fn charge_locally(&self, account: &Account, tokens: u32, now: Instant) -> Result<(), Over> {
         let mut share = self.links.share(now);
         if self.links.home_of(&account.name) != self.me {
             share = share.own();
@@ -227,7 +228,7 @@
         lock(&self.ledger).spend(account, tokens, share, now)
     }
 
-    /// Answers another host's question; the account is `None` where no version in force here has it.
+    /// Replies to a charge that another host requested; `account` is `None` if the version in force here lacks it.
     pub(crate) fn answer(
         &self,
         from: &Name,
@@ -236,7 +237,7 @@
         tokens: u32,
         now: Instant,
     ) {
-        let word = match account.map(|account| self.give_out(account, tokens, now)) {
+        let word = match account.map(|account| self.charge_locally(account, tokens, now)) {
             Some(Ok(())) => Word::Within,
             Some(Err(over)) => Word::Over(over),
             None => Word::Unknown,
@@ -244,27 +245,27 @@
         self.links.send(from, Message::Charged { sequence, word });
     }
 
-    /// Hears an account's home.
-    pub(crate) fn hear(&self, sequence: u64, word: Word) {
-        match lock(&self.asked).remove(&sequence) {
-            // The channel holds one word, and a question is answered once.
-            Some(Asked::Waiting(sender)) => drop(sender.try_send(word)),
-            Some(Asked::Settled {
+    /// Handles the reply of an account's home.
+    pub(crate) fn hear(&self, sequence: u64, reply: Word) {
+        match lock(&self.pending).remove(&sequence) {
+            // The channel has room for one reply, and each charge gets no more than one.
+            Some(ChargeState::Waiting(sender)) => drop(sender.try_send(reply)),
+            Some(ChargeState::ChargedLocally {
                 home,
                 account,
                 tokens,
                 ..
-            }) if matches!(word, Word::Over(_)) => {
+            }) if matches!(reply, Word::Over(_)) => {
                 self.links.send(&home, Message::Spent { account, tokens });
             }
-            // It was taken out here and there, or the request is gone.
-            Some(Asked::Settled { .. }) | None => {}
+            // Both hosts charged it, the home does not know the account, or the request is gone.
+            Some(ChargeState::ChargedLocally { .. }) | None => {}
         }
     }
 
-    /// Gives back what a request was given that was not sent to a backend server.
+    /// Gives back the charge of a request that was not sent to a backend server.
     ///
-    /// A home that has moved meanwhile began its buckets anew, and has nothing to put back.
+    /// If the home has moved since, the new home has started with new buckets, so there is nothing to give back.
     pub(crate) fn give_back(&self, account: &Account, charge: &Charge) {
         let Some(home) = &charge.home else { return };
         if *home != self.links.home_of(&account.name) {
@@ -281,46 +282,49 @@
         self.links.send(home, message);
     }
 
-    /// Puts back what a request was given here that was not sent to a backend server.
+    /// Puts a charge back into the buckets here, since its request was not sent to a backend server.
     pub(crate) fn take_back(&self, account: &Account, tokens: u32, now: Instant) {
         let share = self.links.share(now);
         lock(&self.ledger).give_back(account, tokens, share, now);
     }
 
-    /// Takes out what another host gave out of its own part.
+    /// Debits what another host charged to its own share.
     pub(crate) fn debit(&self, account: &Account, tokens: u32, now: Instant) {
         let share = self.links.share(now);
         lock(&self.ledger).debit(account, tokens, share, now);
     }
 
-    /// Follows a change of the hosts that may be homes.
+    /// Updates the ledger after a change of the hosts that may be homes.
     pub(crate) fn rehome(&self, before: &[Name], after: &[Name], now: Instant) {
         let is_here = |account: &Name, hosts| home::of(account, hosts) == Some(&self.me);
-        let moved = |account: &Name| is_here(account, before) != is_here(account, after);
-        lock(&self.ledger).rehome(moved, now);
+        let has_moved = |account: &Name| is_here(account, before) != is_here(account, after);
+        lock(&self.ledger).rehome(has_moved, now);
     }
 
-    /// Doubts the links to homes that have left a question without an answer for long, though its request went on by
-    /// this host's own part: the next ones shall not wait in vain.
-    pub(crate) fn doubt_silent(&self, now: Instant) {
+    /// Reconnects to homes that have not replied to a charge for long, though its request continued on this host's own
+    /// share, so that the next requests do not wait in vain.
+    pub(crate) fn reconnect_silent(&self, now: Instant) {
         let mut silent = Vec::new();
-        for asked in lock(&self.asked).values_mut() {
-            if let Asked::Settled {
-                home, at, doubted, ..
-            } = asked
-                && !*doubted
-                && now.saturating_duration_since(*at) >= ANSWER_LATE
+        for pending in lock(&self.pending).values_mut() {
+            if let ChargeState::ChargedLocally {
+                home,
+                at,
+                is_reconnected,
+                ..
+            } = pending
+                && !*is_reconnected
+                && now.saturating_duration_since(*at) >= EXTRA_HOME_TIMEOUT
             {
-                *doubted = true;
+                *is_reconnected = true;
                 silent.push(home.clone());
             }
         }
         for home in silent {
-            self.doubt(&home, now);
+            self.reconnect(&home, now);
         }
     }
 
-    fn doubt(&self, home: &Name, now: Instant) {
+    fn reconnect(&self, home: &Name, now: Instant) {
         if self.links.doubt(home, now) {
             slog::info!(
                 self.log, "a link is made anew, since an ask got no word over it";
@@ -329,17 +333,19 @@
         }
     }
 
-    /// Forgets idle accounts and answers that never came.
+    /// Drops idle accounts, and charges whose reply never came.
     pub(crate) fn sweep(&self, now: Instant) {
         lock(&self.ledger).sweep(now);
-        lock(&self.asked).retain(|_, asked| match asked {
-            Asked::Waiting(_) => true,
-            Asked::Settled { at, .. } => now.saturating_duration_since(*at) < SETTLED_FOR,
+        lock(&self.pending).retain(|_, pending| match pending {
+            ChargeState::Waiting(_) => true,
+            ChargeState::ChargedLocally { at, .. } => {
+                now.saturating_duration_since(*at) < LATE_REPLY_TTL
+            }
         });
     }
 }
 
-/// How exactly the settings ask limits to be kept.
+/// The configured tolerance of the limits; `None` if the settings have no window.
 fn tolerance(settings: &config::Accounts) -> Option<Tolerance> {
     (settings.window_ms > 0.0).then(|| Tolerance {
         window: of_millis(settings.window_ms),
--- a/cypressvane/src/transport/active.rs
+++ b/cypressvane/src/transport/active.rs
@@ -7,21 +7,21 @@
 use crate::state::fleet::{Fleet, Index};
 use crate::state::manifest::{Bundle, Cut, Manifest, Record};
 
-/// A configuration in force with all that is derived from it.
+/// A configuration in force with everything derived from it.
 #[derive(Debug)]
 pub(crate) struct Active {
     pub(crate) record: Record,
     pub(crate) manifest: Manifest,
-    /// Each part's text by its digest; what a later version shares is not read again.
+    /// The text of each part by its digest; a part that a later version shares is not read again.
     pub(crate) texts: BTreeMap<String, String>,
     pub(crate) index: Index,
     pub(crate) policies: policy::Set,
-    /// The bytes that another host is given; made when the first one asks.
+    /// The encoded bundle for other hosts; made when the first one requests it.
     pub(crate) packed: OnceLock<Vec<u8>>,
 }
 
 impl Active {
-    /// A version that another place than the table service keeps.
+    /// A version from a configuration source other than the table service.
     pub(crate) fn outside(version: u64, fleet: Fleet) -> Result<Self, policy::Error> {
         let policies = policy::Set::compile(&fleet)?;
         let record = Record {
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The version as another host takes it, in bytes. To cut a large one into parts takes long at first.
+    /// The version as a MessagePack `Bundle` for other hosts. The first call on a large version takes long to cut it.
     pub(crate) fn packed(&self) -> &[u8] {
         self.packed.get_or_init(|| {
             let bundle = rmp_serde::to_vec(&self.bundle());
@@ -54,7 +54,7 @@
         let (mut record, mut manifest) = (self.record.clone(), self.manifest.clone());
         let mut texts = self.texts.clone();
         if manifest.parts.is_empty() {
-            // Another place than the table service keeps it, which does not cut it into parts.
+            // The version comes from a source other than the table service, which does not cut it into parts.
             let cut = Cut::new(&self.index.fleet);
             record.manifest = cut.manifest.digest();
             (manifest, texts) = (cut.manifest, cut.texts);
--- a/cypressvane/src/transport/admission.rs
+++ b/cypressvane/src/transport/admission.rs
@@ -1,4 +1,4 @@
-//! What decides whether a request may wait, for callers of every kind.
+//! Policy verdicts and account limit refusals, shared by `callers` and `gateway`.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use crate::transport::active::Active;
 use crate::transport::node::Node;
 
-/// What a caller over its limit of requests in flight is told to wait.
-const IN_FLIGHT_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after of a caller over its limit of requests in flight.
+const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The policy's word; a program that fails leaves the order of the tier.
+/// The policy's verdict on a request; if the program fails, the tier's order applies.
 pub(crate) fn verdict(
     node: &Node,
     active: &Active,
@@ -36,12 +36,12 @@
         })
 }
 
-/// What a caller over its account's limits is told.
+/// The refusal reason for a caller over its account's limits.
 pub(crate) fn over_reason(over: &Over) -> Reason {
     let (limit, wait) = match over {
         Over::Requests(wait) => ("requests a second", *wait),
         Over::Tokens(wait) => ("tokens a second", *wait),
-        Over::InFlight => ("requests in flight", IN_FLIGHT_RETRY),
+        Over::InFlight => ("requests in flight", IN_FLIGHT_RETRY_AFTER),
     };
     let message = format!("the account is over its limit of {limit}");
     Reason::later(Code::AccountLimit, message, wait)
--- a/cypressvane/src/transport/host.rs
+++ b/cypressvane/src/transport/host.rs
@@ -194,7 +194,7 @@
         periodic(REFRESH, refresh),
         periodic(REFRESH, |node, now| node.desk.reconcile(now)),
         periodic(ASK, |node, now| node.desk.offer_again(now)),
-        periodic(ASK, |node, now| node.accounts.doubt_silent(now)),
+        periodic(ASK, |node, now| node.accounts.reconnect_silent(now)),
         periodic(ASK, |node, _| roster::follow_rollouts(node)),
         periodic(ASK, |node, now| node.rollouts.report(now)),
         periodic(TELL_IDLE, |node, now| node.desk.tell_idle(now)),
--- a/cypressvane/src/transport/metrics.rs
+++ b/cypressvane/src/transport/metrics.rs
@@ -7,11 +7,11 @@
 
 use crate::transport::peers::links::Counters;
 
-/// Buckets of waiting and first-token times, in seconds; 0.46 is the plan's bound.
+/// Buckets of waiting and first-token times, in seconds; 0.46 is the planned upper bound.
 const TIME_BUCKETS: [f64; 12] = [
     0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.46, 1.0, 2.0, 5.0, 15.0, 60.0,
 ];
-/// Buckets of the time between tokens, in seconds; 0.041 is the plan's bound.
+/// Buckets of the time between tokens, in seconds; 0.041 is the planned upper bound.
 const TOKEN_BUCKETS: [f64; 9] = [0.001, 0.005, 0.01, 0.02, 0.041, 0.08, 0.16, 0.5, 2.0];
 
 /// The metrics of a host.
@@ -22,23 +22,23 @@
     pub(crate) requests: IntCounterVec,
     /// Answer tokens passed on, by tier and service.
     pub(crate) tokens: IntCounterVec,
-    /// Policy programs that failed, by policy.
+    /// Failed policy programs, by policy.
     pub(crate) policy_failures: IntCounterVec,
-    /// Platform calls that gave no answer, by service.
+    /// Platform calls without an answer, by service.
     pub(crate) platform_failures: IntCounterVec,
-    /// Servers that ended while they ran a request, each counted for each request.
+    /// Ends of servers that were running a request, counted once for each request.
     pub(crate) server_ends: IntCounter,
-    /// Requests refused since servers end under them.
+    /// Requests refused because servers end under them.
     pub(crate) quarantine_refusals: IntCounter,
-    /// Requests that are kept from the servers.
+    /// Requests in quarantine.
     pub(crate) quarantined: IntGauge,
-    /// Versions that other hosts gave, since the platform did not.
+    /// Versions fetched from other hosts because the platform did not provide them.
     pub(crate) fetched_configurations: IntCounter,
-    /// Answers that name what is no limit.
+    /// Answers of backend servers with a malformed limit.
     pub(crate) malformed_limits: IntCounter,
-    /// Servers that name a limit, of the pools whose home this host is.
+    /// Backend servers that state a limit, in the pools whose home is this host.
     pub(crate) limited_servers: IntGauge,
-    /// Requests held for callers.
+    /// Requests that wait or run here.
     pub(crate) held: IntGauge,
     /// Configuration version in force.
     pub(crate) version: IntGauge,
@@ -47,14 +47,14 @@
     between_tokens: HistogramVec,
 }
 
-/// The times of one tier and service.
+/// The histograms for one tier and service.
 #[derive(Clone, Debug)]
 pub(crate) struct Times {
-    /// Arrival to grant, in seconds.
+    /// Time from arrival to grant, in seconds.
     pub(crate) waiting: Histogram,
-    /// Arrival to first token, in seconds.
+    /// Time from arrival to the first token, in seconds.
     pub(crate) first_token: Histogram,
-    /// One token to the next, in seconds.
+    /// Time from one token to the next, in seconds.
     pub(crate) between_tokens: Histogram,
 }
 
@@ -62,7 +62,7 @@
     /// Registers all metrics.
     ///
     /// # Panics
-    /// When two metrics have the same name, which is a fault of the program.
+    /// Panics if two metrics have the same name, which is a programming error.
     pub(crate) fn new(links: &Counters) -> Self {
         let registry = Registry::new();
         let register = |collector: Box<dyn prometheus::core::Collector>| {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The times of one tier and service.
+    /// The histograms for one tier and service.
     pub(crate) fn times(&self, tier: &str, service: &str) -> Times {
         let labels = [tier, service];
         Times {
@@ -175,10 +175,10 @@
         }
     }
 
-    /// The text that Prometheus reads.
+    /// The metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> String {
         let mut text = Vec::new();
-        // Writing to memory fails only where a metric is broken, and then what stands so far helps.
+        // Encoding to memory fails only for an invalid metric; the text encoded before it is still useful.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8_lossy(&text).into_owned()
     }
--- a/cypressvane/src/transport/mod.rs
+++ b/cypressvane/src/transport/mod.rs
@@ -1,6 +1,6 @@
-//! Sockets, by who is spoken to.
+//! Network I/O, in one module for each kind of peer.
 //!
-//! | module | speaks to |
+//! | module | peer |
 //! | --- | --- |
 //! | `callers` | callers of completions and plain services |
 //! | `gateway` | callers on routes |
@@ -9,12 +9,12 @@
 //! | `platform` | the platform's table service and host list |
 //! | `operators` | operators and their tools |
 //!
-//! A request's way: a listener of `callers` or `gateway` admits it (`admission`, `accounts`), it waits
-//! at the `desk` for the grant of its pool's home, and is sent on; `trace` counts and logs it.
-//! `quarantine` keeps those from the servers under which these end.
-//! `rollout` chooses between the versions of a service, and tries new ones.
-//! `host` starts all of that around one `node`, which the tasks share. `http` has what all
-//! listeners and clients need.
+//! The path of a request: a listener of `callers` or `gateway` admits it (`admission`, `accounts`), it waits at the
+//! `desk` for a grant by its pool's home, and is sent on; `trace` counts and logs it.
+//! `quarantine` refuses requests under which backend servers end.
+//! `rollout` selects the version of a service for each request, and tries new versions.
+//! `host` starts the listeners and tasks around one `node`, which they share. `http` has what all listeners and
+//! clients need.
 
 mod accounts;
 mod active;
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -319,7 +319,7 @@
             "returns" => returns, "version" => self.version(),
         );
         self.note_platform_back(Instant::now());
-        self.quarantine.keep_again();
+        self.quarantine.schedule_rewrite();
         self.rollouts.note_return();
     }
 
--- a/cypressvane/src/transport/operators/mod.rs
+++ b/cypressvane/src/transport/operators/mod.rs
@@ -25,36 +25,36 @@
 use crate::transport::platform::follow;
 use submit::submit;
 
-/// Versions that a history shows unless asked otherwise.
+/// Number of versions in a history by default.
 const HISTORY_DEFAULT: u64 = 20;
-/// Most versions that a history shows.
+/// Largest number of versions in a history.
 const HISTORY_MAX: u64 = 200;
-/// Requests that are kept from the backend servers; one of them below it.
-const QUARANTINE: &str = "/v1/quarantine";
-/// The operators' orders to move a service's traffic to another version.
-const ROLLOUTS: &str = "/v1/rollouts";
-/// The author of a first configuration.
-const BOOTSTRAP: &str = "bootstrap";
+/// Path of the quarantined requests; each of them has a path below it.
+const QUARANTINE_PATH: &str = "/v1/quarantine";
+/// Path of the orders to roll out another version of a service.
+const ROLLOUTS_PATH: &str = "/v1/rollouts";
+/// Name of the operator who authenticates with the bootstrap key, and so the author of a first configuration.
+const BOOTSTRAP_OPERATOR: &str = "bootstrap";
 
-/// Answers operators.
+/// The endpoint for operators.
 pub(crate) struct Operators {
     node: Arc<Node>,
 }
 
-/// The state of a host in short.
+/// A summary of a host's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The host.
+    /// Name of the host.
     pub host: Name,
-    /// Its incarnation.
+    /// Incarnation of the host.
     pub incarnation: u64,
-    /// Configuration version in force; 0 when there is none.
+    /// Configuration version in force; 0 if there is none.
     pub version: u64,
     /// Digest of that version's manifest.
     pub digest: String,
-    /// Whether it takes callers.
+    /// Whether the host accepts callers.
     pub ready: bool,
-    /// Whether it is leaving.
+    /// Whether the host is draining.
     pub draining: bool,
 }
 
@@ -79,7 +79,7 @@
             (Method::Get, "/metrics") => return answer::text(200, self.node.metrics.text()),
             _ => {}
         }
-        let Some(allowed) = methods(&path) else {
+        let Some(allowed) = allowed_methods(&path) else {
             let reason = Reason::new(Code::NotFound, format!("no such path: {path}"));
             return answer::refusal(&request.refuse(reason));
         };
@@ -97,28 +97,29 @@
             let reason = Reason::new(Code::Unauthorized, message);
             return answer::refusal(&request.refuse(reason));
         };
-        let done = match (method, path.as_str()) {
+        let result = match (method, path.as_str()) {
             (Method::Post, "/v1/config") => self.submit(&operator, &mut call).await,
             (Method::Get, "/v1/config") => self.show(),
             (Method::Get, "/v1/config/history") => self.history(&call.request).await,
             (Method::Get, "/v1/hosts") => self.hosts().await,
             (Method::Post, "/v1/drain") => Ok(self.drain(&operator)),
             (Method::Post, "/v1/orders") => self.order(&operator, &mut call).await,
-            (Method::Get, QUARANTINE) => Ok(answer::json(
+            (Method::Get, QUARANTINE_PATH) => Ok(answer::json(
                 200,
                 &self.node.quarantine.list(Instant::now()),
             )),
-            (Method::Get, ROLLOUTS) => Ok(answer::json(200, &self.node.rollouts.list())),
+            (Method::Get, ROLLOUTS_PATH) => Ok(answer::json(200, &self.node.rollouts.list())),
             (Method::Delete, path) => self.release(&operator, path),
             (Method::Get, "/v1/state") => Ok(answer::json(200, &self.state())),
             _ => Ok(answer::json(200, &self.node.dump())),
         };
-        done.unwrap_or_else(|reason| answer::refusal(&refusal(request, reason)))
+        result.unwrap_or_else(|reason| answer::refusal(&refusal(request, reason)))
     }
 
-    /// The name of the operator whose key the request bears.
+    /// The name of the operator whose key the request carries.
     ///
-    /// A configuration that is kept elsewhere names no operators, so the key in the settings counts.
+    /// A configuration from another source than the table service names no operators, so only the bootstrap key of the
+    /// settings is valid then.
     fn operator(&self, request: &HttpRequest) -> Option<Name> {
         let key = bearer(request)?;
         let own = self.node.active().filter(|_| self.node.source.is_none());
@@ -131,7 +132,7 @@
         let bootstrap = self.node.config.host.bootstrap_key_sha256.as_deref()?;
         Key::parse(bootstrap)?
             .matches(&Key::of(key))
-            .then(|| Name::from(BOOTSTRAP))
+            .then(|| Name::from(BOOTSTRAP_OPERATOR))
     }
 
     fn ready(&self) -> Response {
@@ -205,7 +206,7 @@
         }
         match self.node.roster.list(None, None).await {
             Ok(Listing::Entries { entries, .. }) => Ok(answer::json(200, &entries)),
-            // Nothing was named as known, so this is no answer.
+            // The call named no known state, so the list cannot be the same as that.
             Ok(Listing::Same) => Err(Reason::new(
                 Code::PlatformUnavailable,
                 "the host list gave no entries",
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Issues an order to the backend server that the query names.
+    /// Issues an order to the backend server named in the query.
     async fn order(&self, operator: &str, call: &mut Call) -> Result<Response, Reason> {
         let query: Query = query(&call.request)?;
         let body = call.body().await?;
@@ -230,9 +231,9 @@
         Ok(answer::json(200, &entry))
     }
 
-    /// Lets a request through again that was kept from the backend servers.
+    /// Releases a request from the quarantine.
     fn release(&self, operator: &str, path: &str) -> Result<Response, Reason> {
-        let fingerprint = quarantined(path).and_then(Fingerprint::parse);
+        let fingerprint = fingerprint_in(path).and_then(Fingerprint::parse);
         let released = fingerprint.and_then(|it| self.node.quarantine.release(&it, operator));
         if released.is_none() {
             let message = "no such request is kept from the backend servers";
@@ -247,7 +248,7 @@
     fn drain(&self, operator: &str) -> Response {
         slog::info!(self.node.log, "an operator asks this host to leave"; "operator" => operator);
         self.node.begin_drain();
-        // A full channel means that somebody asked before.
+        // A full channel means that an operator has asked before.
         let _ = self.node.signals.leave.try_send(());
         answer::json(202, &self.state())
     }
@@ -263,7 +264,7 @@
     }
 }
 
-/// What an operator is told; a change whose outcome is not known is not said to be without effect.
+/// The refusal for an operator; a change with an unknown outcome must not be reported as having had no effect.
 fn refusal(request: Request<Received>, reason: Reason) -> Refusal {
     match reason.code {
         Code::BackendFailed | Code::OutcomeUnknown => {
@@ -273,21 +274,21 @@
     }
 }
 
-/// The methods that a path takes.
-fn methods(path: &str) -> Option<&'static str> {
+/// The methods that a path accepts.
+fn allowed_methods(path: &str) -> Option<&'static str> {
     match path {
         "/v1/config" => Some("GET, POST"),
         "/v1/drain" | "/v1/orders" => Some("POST"),
-        path if quarantined(path).is_some() => Some("DELETE"),
+        path if fingerprint_in(path).is_some() => Some("DELETE"),
         "/healthz" | "/readyz" | "/metrics" | "/dump" | "/v1/config/history" | "/v1/hosts"
-        | QUARANTINE | ROLLOUTS | "/v1/state" => Some("GET"),
+        | QUARANTINE_PATH | ROLLOUTS_PATH | "/v1/state" => Some("GET"),
         _ => None,
     }
 }
 
-/// What a path says of one request that is kept from the backend servers.
-fn quarantined(path: &str) -> Option<&str> {
-    path.strip_prefix(QUARANTINE)?.strip_prefix('/')
+/// The fingerprint in the path of a quarantined request.
+fn fingerprint_in(path: &str) -> Option<&str> {
+    path.strip_prefix(QUARANTINE_PATH)?.strip_prefix('/')
 }
 
 fn query(request: &HttpRequest) -> Result<Query, Reason> {
--- a/cypressvane/src/transport/operators/orders.rs
+++ b/cypressvane/src/transport/operators/orders.rs
@@ -1,10 +1,10 @@
-//! Issues orders to backend servers: one in flight for each server, numbered by the table service.
+//! Issues orders to backend servers: one in flight per server, numbered through the table service.
 //!
-//! A server's row holds its newest order. Who writes the row as pending, with the next number, may
-//! send; everybody else waits until it is done or its issuer has been silent for long. A server that
-//! refuses old numbers is then safe from a late issuer. For one that ignores numbers the issuer sends
-//! only shortly after it wrote the row, and who takes over from a silent issuer looks again at the
-//! server afterwards, and repeats the order if a late one has undone it.
+//! A server's row holds its newest order. The issuer that writes the row as pending, with the next number, may send;
+//! other issuers are refused until the order is done or its issuer has been silent for `ISSUER_TIMEOUT`. The number is
+//! a fencing token: a server that refuses old numbers is safe from a late issuer. Because some servers ignore numbers,
+//! an issuer sends only within `SEND_WINDOW` of writing the row, and an issuer that takes over from a silent one polls
+//! the server for a while afterwards, and repeats its order if a late one has undone it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,62 +21,63 @@
 use crate::transport::http::client::{self, Reply};
 use crate::transport::node::Node;
 
-/// Where a backend server takes orders and reports on them.
+/// Path at which a backend server accepts orders and reports on them.
 const ORDERS_PATH: &str = "/orders";
-/// Silence after which a pending order's issuer is taken as gone.
-const SILENT_AFTER: Duration = Duration::from_secs(6);
-/// Time after writing the row in which an issuer may still send.
-const SEND_WITHIN: Duration = Duration::from_secs(2);
-/// Longest time that one call to a server may take.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// Looks at the server until it shows the order.
-const LOOKS: u32 = 10;
-/// Rest between two looks.
-const LOOK_REST: Duration = Duration::from_millis(100);
-/// Looks after taking over from a silent issuer, to see whether a late order came.
-const SETTLE_LOOKS: u32 = 10;
-/// Rest between two of them.
-const SETTLE_REST: Duration = Duration::from_millis(300);
-/// Largest answer of a server, in bytes.
+/// Age of a pending order after which its issuer counts as gone.
+const ISSUER_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time after the start of the row's write in which an issuer may still send.
+const SEND_WINDOW: Duration = Duration::from_secs(2);
+/// Timeout of one call to a server.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Most polls of the server until it shows the order.
+const POLLS: u32 = 10;
+/// Delay between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of polls after taking over from a silent issuer, to detect a late order from it.
+const TAKEOVER_POLLS: u32 = 10;
+/// Delay before each of these polls.
+const TAKEOVER_POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// Largest accepted answer of a server, in bytes.
 const ANSWER_BYTES_MAX: u64 = 1 << 20;
 
-/// The order that this host may send.
-struct Turn {
+/// An order that this host has written as pending and may send.
+struct PendingOrder {
     key: String,
     entry: Entry,
-    /// When the row was about to be written.
-    begun: Instant,
-    /// Whether an earlier issuer fell silent with an order that may still be on its way.
+    /// When the write of the row started.
+    write_started: Instant,
+    /// Whether an earlier issuer fell silent with an order that may still arrive.
     took_over: bool,
 }
 
-/// Issues an order to a backend server and sees it carried out.
+/// Issues an order to a backend server and verifies that it is carried out.
 ///
 /// # Errors
-/// `Conflict` while another order is in flight or when another issuer took over,
-/// `PlatformUnavailable` when the table service does not answer, and `BackendFailed` when the server
-/// refuses or does not show the order.
+/// `NotFound` if the host list does not have the server, `Conflict` if another order is in flight, another issuer took
+/// over, this host was paused before sending, or the server has seen a newer order, `PlatformUnavailable` if the host
+/// list or the table service does not answer, `BackendFailed` if the server refuses or does not show the order, and
+/// `OutcomeUnknown` if the order was sent but its outcome could not be recorded.
 pub(crate) async fn issue(
     node: &Node,
     operator: &str,
     server: &str,
     order: Order,
 ) -> Result<Entry, Reason> {
-    let address = find(node, server).await?;
-    let mut turn = take_turn(node, operator, server, order).await?;
-    let stage = carry_out(&turn, address).await;
-    turn.entry.stage = if stage.is_ok() {
+    let address = find_address(node, server).await?;
+    let mut pending = write_pending(node, operator, server, order).await?;
+    let stage = carry_out(&pending, address).await;
+    pending.entry.stage = if stage.is_ok() {
         Stage::Done
     } else {
         Stage::Failed
     };
-    finish(node, &turn).await?;
+    record_outcome(node, &pending).await?;
     stage?;
-    Ok(turn.entry)
+    Ok(pending.entry)
 }
 
 /// The address of a backend server.
-async fn find(node: &Node, server: &str) -> Result<SocketAddr, Reason> {
+async fn find_address(node: &Node, server: &str) -> Result<SocketAddr, Reason> {
     let listing = node
         .roster
         .list(None, None)
@@ -100,13 +101,13 @@
     found.map(|entry| entry.address).ok_or_else(unknown)
 }
 
-/// Writes the order into the server's row, with the next number.
-async fn take_turn(
+/// Writes the order into the server's row as pending, with the next number.
+async fn write_pending(
     node: &Node,
     operator: &str,
     server: &str,
     order: Order,
-) -> Result<Turn, Reason> {
+) -> Result<PendingOrder, Reason> {
     let key = format!("orders/{server}");
     let row = node
         .table
@@ -117,9 +118,9 @@
     let now_ms = millis(since_epoch());
     let pending = last.as_ref().filter(|last| last.stage == Stage::Pending);
     if let Some(pending) = pending
-        && now_ms.saturating_sub(pending.issued_at_ms) < millis(SILENT_AFTER)
+        && now_ms.saturating_sub(pending.issued_at_ms) < millis(ISSUER_TIMEOUT)
     {
-        return Err(in_flight(pending));
+        return Err(order_conflict(pending));
     }
     let number = last.as_ref().map_or(0, |last| last.newest.number) + 1;
     let entry = Entry {
@@ -130,19 +131,24 @@
         issuer: node.config.host.name.clone(),
         issued_at_ms: now_ms,
     };
-    let begun = Instant::now();
+    let write_started = Instant::now();
     let took_over = pending.is_some();
-    write(node, &key, &entry, row.as_ref()).await?;
-    Ok(Turn {
+    write_row(node, &key, &entry, row.as_ref()).await?;
+    Ok(PendingOrder {
         key,
         entry,
-        begun,
+        write_started,
         took_over,
     })
 }
 
-/// Writes a row if it is as it was read; a lost answer is read back.
-async fn write(node: &Node, key: &str, entry: &Entry, before: Option<&Row>) -> Result<(), Reason> {
+/// Writes a row if it is unchanged since it was read; on a conflict or a lost reply, reads the row back.
+async fn write_row(
+    node: &Node,
+    key: &str,
+    entry: &Entry,
+    before: Option<&Row>,
+) -> Result<(), Reason> {
     let expect = before.map_or(Expect::Absent, |row| Expect::Revision(row.revision));
     let text = serde_json::to_string(entry).expect("plain values have a JSON form");
     match node.table.put(key, &text, expect).await {
@@ -156,7 +162,7 @@
             let found = row.as_ref().map(parse).transpose()?;
             match found {
                 Some(found) if found.id == entry.id && found.stage == entry.stage => Ok(()),
-                Some(found) => Err(in_flight(&found)),
+                Some(found) => Err(order_conflict(&found)),
                 None => Err(unavailable(&Error::Lost(
                     "the order's row is not there".to_owned(),
                 ))),
@@ -166,57 +172,57 @@
     }
 }
 
-/// Notes how the order ended, unless another issuer took over meanwhile.
-async fn finish(node: &Node, turn: &Turn) -> Result<(), Reason> {
+/// Records the order's outcome, unless another issuer has taken over.
+async fn record_outcome(node: &Node, pending: &PendingOrder) -> Result<(), Reason> {
     let row = node
         .table
-        .get(&turn.key)
+        .get(&pending.key)
         .await
         .map_err(|error| unrecorded(&error))?;
     let found = row.as_ref().map(parse).transpose()?;
     match found {
-        Some(found) if found.id == turn.entry.id => {
-            let written = write(node, &turn.key, &turn.entry, row.as_ref()).await;
+        Some(found) if found.id == pending.entry.id => {
+            let written = write_row(node, &pending.key, &pending.entry, row.as_ref()).await;
             written.map_err(|reason| match reason.code {
                 Code::Conflict => reason,
                 _ => unrecorded(&Error::Lost(reason.message)),
             })
         }
-        Some(found) => Err(in_flight(&found)),
+        Some(found) => Err(order_conflict(&found)),
         None => Err(unrecorded(&Error::Lost(
             "the order's row is not there".to_owned(),
         ))),
     }
 }
 
-/// Sends the order and looks until the server shows it.
-async fn carry_out(turn: &Turn, address: SocketAddr) -> Result<(), Reason> {
-    send(turn, address).await?;
-    if turn.took_over {
-        return settle(turn, address).await;
+/// Sends the order and polls the server until it shows the order.
+async fn carry_out(pending: &PendingOrder, address: SocketAddr) -> Result<(), Reason> {
+    send(pending, address).await?;
+    if pending.took_over {
+        return watch_after_takeover(pending, address).await;
     }
-    for _ in 0..LOOKS {
-        if shows(turn, address).await == Some(true) {
+    for _ in 0..POLLS {
+        if is_shown(pending, address).await == Some(true) {
             return Ok(());
         }
-        Timer::after(LOOK_REST).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     Err(not_shown())
 }
 
-/// Watches the server for a while, and repeats the order each time that a late one has undone it.
-async fn settle(turn: &Turn, address: SocketAddr) -> Result<(), Reason> {
+/// Polls the server for a while after a takeover, and repeats the order each time that a late one has undone it.
+async fn watch_after_takeover(pending: &PendingOrder, address: SocketAddr) -> Result<(), Reason> {
     let mut shown = None;
-    for _ in 0..SETTLE_LOOKS {
-        Timer::after(SETTLE_REST).await;
-        shown = shows(turn, address).await;
+    for _ in 0..TAKEOVER_POLLS {
+        Timer::after(TAKEOVER_POLL_INTERVAL).await;
+        shown = is_shown(pending, address).await;
         if shown == Some(false) {
-            send_now(turn, address).await?;
+            send_now(pending, address).await?;
         }
     }
-    // What was repeated after the last look has not been seen yet.
+    // An order that was repeated after the last poll has not been verified yet.
     if shown != Some(true) {
-        shown = shows(turn, address).await;
+        shown = is_shown(pending, address).await;
     }
     if shown == Some(true) {
         Ok(())
@@ -225,21 +231,21 @@
     }
 }
 
-/// Sends the order, if the row was written only just now: an issuer that was paused does not.
-async fn send(turn: &Turn, address: SocketAddr) -> Result<(), Reason> {
-    if turn.begun.elapsed() > SEND_WITHIN {
+/// Sends the order, unless more than `SEND_WINDOW` has passed since the write of the row started: this host was paused.
+async fn send(pending: &PendingOrder, address: SocketAddr) -> Result<(), Reason> {
+    if pending.write_started.elapsed() > SEND_WINDOW {
         let message = "this host was paused before it could send the order; nothing was sent";
         return Err(Reason::new(Code::Conflict, message));
     }
-    send_now(turn, address).await
+    send_now(pending, address).await
 }
 
-/// Sends the order; a lost answer is no failure, since the server is looked at afterwards.
-async fn send_now(turn: &Turn, address: SocketAddr) -> Result<(), Reason> {
+/// Sends the order; a lost reply is not an error, since the server is polled afterwards.
+async fn send_now(pending: &PendingOrder, address: SocketAddr) -> Result<(), Reason> {
     let mut request = client::request(Method::Post, address, ORDERS_PATH);
-    let body = serde_json::to_vec(&turn.entry.newest).expect("plain values have a JSON form");
+    let body = serde_json::to_vec(&pending.entry.newest).expect("plain values have a JSON form");
     request.set_body(Body::from_bytes(body));
-    match client::call(address, request, ANSWER_BYTES_MAX, CALL_TIME).await {
+    match client::call(address, request, ANSWER_BYTES_MAX, CALL_TIMEOUT).await {
         Ok(reply) if reply.status() == Code::Conflict.status() => {
             let message = "the backend server has seen a newer order";
             Err(Reason::new(Code::Conflict, message))
@@ -252,10 +258,10 @@
     }
 }
 
-/// Whether the server shows the order; `None` when it does not answer.
-async fn shows(turn: &Turn, address: SocketAddr) -> Option<bool> {
-    let report = look(address).await?;
-    Some(report.shows(&turn.entry.newest.order))
+/// Whether the server shows the order; `None` if it does not answer.
+async fn is_shown(pending: &PendingOrder, address: SocketAddr) -> Option<bool> {
+    let report = fetch_report(address).await?;
+    Some(report.shows(&pending.entry.newest.order))
 }
 
 fn not_shown() -> Reason {
@@ -263,10 +269,10 @@
     Reason::new(Code::BackendFailed, message)
 }
 
-/// What the server reports; `None` when it does not answer.
-async fn look(address: SocketAddr) -> Option<Report> {
+/// The server's report on its orders; `None` if it does not answer.
+async fn fetch_report(address: SocketAddr) -> Option<Report> {
     let request = client::request(Method::Get, address, ORDERS_PATH);
-    let reply: Reply = client::call(address, request, ANSWER_BYTES_MAX, CALL_TIME)
+    let reply: Reply = client::call(address, request, ANSWER_BYTES_MAX, CALL_TIMEOUT)
         .await
         .ok()?;
     serde_json::from_slice(&reply.body).ok()
@@ -277,7 +283,7 @@
         .map_err(|error| unavailable(&Error::Unexpected(error.to_string())))
 }
 
-fn in_flight(entry: &Entry) -> Reason {
+fn order_conflict(entry: &Entry) -> Reason {
     let message = format!(
         "order {} of {} from {} came first and is {:?}",
         entry.newest.number, entry.issuer, entry.operator, entry.stage
@@ -289,7 +295,7 @@
     Reason::new(Code::PlatformUnavailable, error.to_string())
 }
 
-/// The table service did not tell how the order is to be recorded, after it was sent.
+/// The reason if a sent order's outcome could not be recorded in the table service.
 fn unrecorded(error: &Error) -> Reason {
     let message = format!("the order was sent, but how it ended is not recorded: {error}");
     Reason::new(Code::OutcomeUnknown, message)
--- a/cypressvane/src/transport/operators/submit.rs
+++ b/cypressvane/src/transport/operators/submit.rs
@@ -1,4 +1,4 @@
-//! Accepts a configuration: accepted means that the row of the next version was written.
+//! Accepts configurations: a configuration is accepted once the row of its version is written.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
 use crate::transport::node::Node;
 use crate::transport::platform::follow;
 
-/// Attempts to find out how a write ended whose answer was lost.
+/// Attempts to read back the outcome of a write whose reply was lost.
 const READ_BACK_ATTEMPTS: u32 = 5;
-/// Rest before the first of them; doubled after each.
-const READ_BACK_REST: Duration = Duration::from_millis(100);
-/// Versions of a hint that others write at the same time.
+/// Delay after the first attempt; doubled after each.
+const READ_BACK_DELAY: Duration = Duration::from_millis(100);
+/// Attempts to update the hint while other hosts write it.
 const HINT_ATTEMPTS: u32 = 3;
 
-/// Accepts the configuration in `text` after the version `base`, or after the one in force.
+/// Accepts the configuration in `text` as the successor of version `base`, or of the version in force.
 ///
 /// # Errors
-/// `Rejected` when it does not check, `Conflict` when another submission won, and
-/// `PlatformUnavailable` when the table service does not answer and nothing was accepted, and
-/// `OutcomeUnknown` when the answer was lost and the submission may be accepted.
+/// `Rejected` if the configuration is invalid, `Conflict` if another submission won, `PlatformUnavailable` if the table
+/// service does not answer and nothing was accepted, and `OutcomeUnknown` if the reply was lost and the submission may
+/// have been accepted.
 pub(crate) async fn submit(
     node: &Node,
     author: &str,
@@ -35,7 +35,7 @@
 ) -> Result<Record, Reason> {
     let fleet = Fleet::parse(text).map_err(|error| rejected(&error))?;
     policy::Set::compile(&fleet).map_err(|error| rejected(&error))?;
-    // A host that lags would lose every race, so it catches up first.
+    // A host with an old version would lose every race, so it catches up first.
     follow::advance(node)
         .await
         .map_err(|error| unavailable("nothing was written", &error))?;
@@ -52,29 +52,29 @@
         changes,
     };
     let mut rows = cut.rows(&record);
-    let decisive = rows.pop();
+    let record_row = rows.pop();
     for (key, text) in rows {
-        store(node, &key, &text).await?;
+        store_text(node, &key, &text).await?;
     }
-    if let Some((key, text)) = decisive {
-        decide(node, &record, &key, &text).await?;
+    if let Some((key, text)) = record_row {
+        write_record(node, &record, &key, &text).await?;
     }
     write_hint(node, record.version).await;
-    // Accepted already: a failure here is made good by the next poll.
+    // The configuration is accepted already; if this fails, the next poll catches up.
     let _ = follow::advance(node).await;
     Ok(record)
 }
 
-/// Stores a text under its digest; that it stands there already is as good.
-async fn store(node: &Node, key: &str, text: &str) -> Result<(), Reason> {
+/// Stores a text under its digest, unless it is stored already.
+async fn store_text(node: &Node, key: &str, text: &str) -> Result<(), Reason> {
     let written = node.table.put(key, text, Expect::Absent).await;
     written
         .map(|_| ())
         .map_err(|error| unavailable("nothing was accepted", &error))
 }
 
-/// Writes the row of the version, which decides between racing submissions.
-async fn decide(node: &Node, record: &Record, key: &str, text: &str) -> Result<(), Reason> {
+/// Writes the row of the version, which decides between concurrent submissions.
+async fn write_record(node: &Node, record: &Record, key: &str, text: &str) -> Result<(), Reason> {
     match node.table.put(key, text, Expect::Absent).await {
         Ok(Write::Done) => Ok(()),
         Ok(Write::Conflict) | Err(Error::Lost(_)) => read_back(node, record).await,
@@ -82,17 +82,17 @@
     }
 }
 
-/// Finds out who wrote the row: this submission, another, or nobody.
+/// Reads back whether this submission, another one or none wrote the row.
 async fn read_back(node: &Node, record: &Record) -> Result<(), Reason> {
-    let mut rest = READ_BACK_REST;
+    let mut delay = READ_BACK_DELAY;
     for _ in 0..READ_BACK_ATTEMPTS {
         match follow::record(node, record.version).await {
             Ok(Some(winner)) if winner.submission == record.submission => return Ok(()),
             Ok(Some(winner)) => return Err(conflict(&winner)),
-            // Not there yet, or no answer: a write that was sent may still take effect.
-            Ok(None) | Err(_) => Timer::after(rest).await,
+            // There is no row yet, or no answer: the write may still take effect.
+            Ok(None) | Err(_) => Timer::after(delay).await,
         };
-        rest *= 2;
+        delay *= 2;
     }
     let message = format!(
         "the table service's answer was lost; submission {} may be accepted as version {}",
@@ -101,7 +101,7 @@
     Err(Reason::new(Code::OutcomeUnknown, message))
 }
 
-/// Moves the hint forward, so that a new host need not read every version.
+/// Advances the hint, so that a new host need not read every version.
 async fn write_hint(node: &Node, version: u64) {
     for _ in 0..HINT_ATTEMPTS {
         let Ok(row) = node.table.get(HINT_KEY).await else {
@@ -112,7 +112,7 @@
             return;
         }
         let expect = row.map_or(Expect::Absent, |row| Expect::Revision(row.revision));
-        // A hint that stays behind only costs a new host some reads.
+        // A stale hint only costs a new host some reads.
         if let Ok(Write::Done) = node.table.put(HINT_KEY, &version.to_string(), expect).await {
             return;
         }
--- a/cypressvane/src/transport/quarantine/mod.rs
+++ b/cypressvane/src/transport/quarantine/mod.rs
@@ -1,9 +1,9 @@
-//! Requests under which servers end, as this host knows them together with the others.
+//! The quarantine of requests under which backend servers end (queries of death), shared by all hosts.
 //!
-//! Each host tells all others which of its requests ran at a server that ended, and which of the suspects was
-//! answered whole. Heartbeats carry a digest of the rulings; where it differs, hosts tell each other all of
-//! them, so that one that starts, was cut off or stood still knows them with the first heartbeat. Rulings also
-//! stand in the table service, for the case that all hosts are killed.
+//! Each host broadcasts which of its requests were running on a server that ended, and which of the suspects were
+//! answered completely. Heartbeats carry a digest of the rulings; where digests differ, hosts send each other all
+//! rulings, so that a host that starts, was cut off or stood still has them with the first heartbeat. The rulings are
+//! also stored in the table service, so that they survive the loss of all hosts.
 
 pub(crate) mod keeper;
 
@@ -28,27 +28,27 @@
 use crate::transport::peers::links::Links;
 use crate::transport::runtime::lock;
 
-/// Least time between two tellings of all rulings to the same host.
-const TELL_ALL_EVERY: Duration = Duration::from_secs(1);
-/// Characters of a path that operators are shown.
-const PATH_SHOWN: usize = 120;
+/// Least time between two transfers of all rulings to the same host.
+const RESYNC_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of characters of a path that operators are shown.
+const MAX_PATH_CHARS: usize = 120;
 
-/// Requests under which servers end.
+/// This host's part of the quarantine.
 pub(crate) struct Quarantine {
     links: Arc<Links>,
     log: Logger,
-    /// Whether no request is ever kept from the servers.
+    /// Whether the quarantine is disabled.
     is_off: bool,
     known: Mutex<quarantine::Quarantine>,
-    /// Whether nothing is known, so that no request needs to be looked up.
-    calm: AtomicBool,
-    /// When each host was told all rulings.
-    told: Mutex<HashMap<Name, Instant>>,
-    /// Wakes the task that keeps rulings in the table service.
-    unkept: (Sender<()>, Receiver<()>),
-    /// Closed when the host list was read, so that it is known how many hosts there are.
-    listed: (Sender<()>, Receiver<()>),
-    /// Whether those in the table service were read, or could not be, or others read them.
+    /// Whether there are no suspects and no rulings, so that no request needs a lookup.
+    is_empty: AtomicBool,
+    /// When all rulings were last sent to each host.
+    last_sync: Mutex<HashMap<Name, Instant>>,
+    /// Wakes the task that writes the rulings to the table service.
+    write_requested: (Sender<()>, Receiver<()>),
+    /// Closed once the host list has been read, so that the number of hosts is known.
+    host_list_read: (Sender<()>, Receiver<()>),
+    /// Whether the stored rulings have been read, could not be read, or are read by other hosts.
     loaded: AtomicBool,
 }
 
@@ -59,7 +59,7 @@
     pub(crate) account: Option<&'a Name>,
     pub(crate) path: &'a str,
     pub(crate) server: &'a Name,
-    /// When the request was sent there.
+    /// When the request was sent to the server.
     pub(crate) sent: Instant,
 }
 
@@ -74,27 +74,27 @@
             log,
             is_off: bounds.ends.is_none(),
             known: Mutex::new(quarantine::Quarantine::new(bounds)),
-            calm: AtomicBool::new(true),
-            told: Mutex::default(),
-            unkept: async_channel::bounded(1),
-            listed: async_channel::bounded(1),
+            is_empty: AtomicBool::new(true),
+            last_sync: Mutex::default(),
+            write_requested: async_channel::bounded(1),
+            host_list_read: async_channel::bounded(1),
             loaded: AtomicBool::new(false),
         }
     }
 
-    /// Notes that the host list was read.
+    /// Records that the host list has been read.
     pub(crate) fn note_listed(&self) {
-        self.listed.0.close();
+        self.host_list_read.0.close();
     }
 
-    /// Whether the rulings in the table service were read, or could not be, or others read them.
+    /// Whether the stored rulings have been read, could not be read, or are read by other hosts.
     pub(crate) fn is_loaded(&self) -> bool {
         self.loaded.load(Ordering::Relaxed)
     }
 
-    /// Why a request is kept from the servers; `None` where it is not.
+    /// The reason to refuse a quarantined request; `None` if the request is not quarantined.
     pub(crate) fn refusal(&self, fingerprint: impl FnOnce() -> Fingerprint) -> Option<Reason> {
-        if self.calm.load(Ordering::Relaxed) {
+        if self.is_empty.load(Ordering::Relaxed) {
             return None;
         }
         let fingerprint = fingerprint();
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Takes in, and tells the other hosts, that a server ended while it ran a request of this host.
+    /// Records that a server ended while it ran a request of this host, and broadcasts it to the other hosts.
     pub(crate) fn ended(&self, metrics: &Metrics, ended: &Ended<'_>, now: Instant) {
         metrics.server_ends.inc();
         if self.is_off {
@@ -124,13 +124,13 @@
             path: ended
                 .path
                 .chars()
-                .take(PATH_SHOWN)
+                .take(MAX_PATH_CHARS)
                 .collect::<String>()
                 .into(),
         };
         let message = message::Ended::new(ended.fingerprint, &subject, &end, now);
         self.links.broadcast(&Message::Ended(message));
-        let shown = self.change(|known| known.ended(ended.fingerprint, &subject, end, now));
+        let shown = self.update(|known| known.ended(ended.fingerprint, &subject, end, now));
         slog::info!(
             self.log, "a server ended under a request";
             "request_id" => ended.request_id, "fingerprint" => %ended.fingerprint,
@@ -139,73 +139,73 @@
             "ends" => match &shown { Shown::Suspect(ends) => Some(*ends), _ => None },
         );
         if let Shown::Settled(ruling) = shown {
-            self.settled(&ruling, None);
-            self.tell(ruling, now);
+            self.log_settled(&ruling, None);
+            self.publish(ruling, now);
         }
     }
 
-    /// Takes in that a server ended while it ran a request of another host.
+    /// Records that a server ended while it ran a request of another host.
     pub(crate) fn hear_ended(&self, from: &Name, message: message::Ended, now: Instant) {
         let fingerprint = message.fingerprint;
         let (subject, end) = message.heard(now);
-        let shown = self.change(|known| known.ended(fingerprint, &subject, end, now));
+        let shown = self.update(|known| known.ended(fingerprint, &subject, end, now));
         if let Shown::Settled(ruling) = shown {
-            self.settled(&ruling, Some(from));
-            self.keep_for_all();
+            self.log_settled(&ruling, Some(from));
+            self.schedule_write_if_elected();
         }
     }
 
-    /// Takes in that a request was answered whole.
+    /// Records that a request was answered completely.
     pub(crate) fn answered(&self, fingerprint: impl FnOnce() -> Fingerprint, now: Instant) {
-        if self.calm.load(Ordering::Relaxed) {
+        if self.is_empty.load(Ordering::Relaxed) {
             return;
         }
         let fingerprint = fingerprint();
-        match self.change(|known| known.answered(&fingerprint, now)) {
+        match self.update(|known| known.answered(&fingerprint, now)) {
             Cleared::Nothing => {}
             Cleared::Suspicion => self.links.broadcast(&Message::Answered { fingerprint }),
             Cleared::Ruling(ruling) => {
-                self.released(&ruling, "answered whole");
-                self.tell(ruling, now);
+                self.log_released(&ruling, "answered whole");
+                self.publish(ruling, now);
             }
         }
     }
 
-    /// Takes in that another host's request was answered whole.
+    /// Records that another host's request was answered completely.
     pub(crate) fn hear_answered(&self, fingerprint: &Fingerprint, now: Instant) {
-        // A ruling is told as such.
-        self.change(|known| known.forgive(fingerprint, now));
+        // The other host sends a changed ruling in a message of its own.
+        self.update(|known| known.forgive(fingerprint, now));
     }
 
-    /// Lets a request through again, as an operator asks; `None` where it is not kept.
+    /// Releases a request from the quarantine for an operator; `None` if it is not quarantined.
     pub(crate) fn release(&self, fingerprint: &Fingerprint, operator: &str) -> Option<Ruling> {
         let now = Instant::now();
-        let ruling = self.change(|known| known.release(fingerprint, now))?;
-        self.released(&ruling, operator);
-        self.tell(ruling.clone(), now);
+        let ruling = self.update(|known| known.release(fingerprint, now))?;
+        self.log_released(&ruling, operator);
+        self.publish(ruling.clone(), now);
         Some(ruling)
     }
 
-    /// Takes in rulings of another host, or of the table service.
+    /// Merges rulings from another host or from the table service.
     pub(crate) fn hear(&self, from: &str, rulings: Vec<message::Ruling>, now: Instant) {
         let mut is_news = false;
         for ruling in rulings {
             let ruling = ruling.heard(now);
-            if self.change(|known| known.hear(ruling.clone(), now)) {
+            if self.update(|known| known.hear(ruling.clone(), now)) {
                 is_news = true;
                 if ruling.holds() {
-                    self.settled(&ruling, Some(from));
+                    self.log_settled(&ruling, Some(from));
                 } else {
-                    self.released(&ruling, from);
+                    self.log_released(&ruling, from);
                 }
             }
         }
         if is_news {
-            self.keep_for_all();
+            self.schedule_write_if_elected();
         }
     }
 
-    /// Compares another host's digest of the rulings with this host's, and tells it all where they differ.
+    /// Compares another host's digest of the rulings with this host's, and sends that host all rulings if they differ.
     pub(crate) fn compare(&self, from: &Name, digest: u64, now: Instant) {
         let rulings = {
             let known = lock(&self.known);
@@ -214,13 +214,13 @@
             }
             known.rulings()
         };
-        if rulings.is_empty() || !self.is_due(from, now) {
+        if rulings.is_empty() || !self.is_resync_due(from, now) {
             return;
         }
-        self.links.send(from, tellable(&rulings, now));
+        self.links.send(from, rulings_message(&rulings, now));
     }
 
-    /// Rulings and suspects, as operators are told of them.
+    /// The quarantined requests and the suspects, for operators.
     pub(crate) fn list(&self, now: Instant) -> Vec<dump::Quarantined> {
         let known = lock(&self.known);
         let rulings = known.rulings();
@@ -246,64 +246,65 @@
         kept.chain(suspects).collect()
     }
 
-    /// Forgets what is too old.
+    /// Drops expired entries and updates the metric.
     pub(crate) fn sweep(&self, metrics: &Metrics, now: Instant) {
-        if self.calm.load(Ordering::Relaxed) {
+        if self.is_empty.load(Ordering::Relaxed) {
             return;
         }
-        let held = self.change(|known| known.sweep(now));
+        let held = self.update(|known| known.sweep(now));
         metrics
             .quarantined
             .set(i64::try_from(held).unwrap_or(i64::MAX));
     }
 
-    /// Changes what is known, and keeps what is derived from it.
-    fn change<T>(&self, change: impl FnOnce(&mut quarantine::Quarantine) -> T) -> T {
+    /// Updates what is known, and everything derived from it.
+    fn update<T>(&self, update: impl FnOnce(&mut quarantine::Quarantine) -> T) -> T {
         let mut known = lock(&self.known);
-        let changed = change(&mut known);
-        self.calm.store(known.is_calm(), Ordering::Relaxed);
+        let changed = update(&mut known);
+        self.is_empty.store(known.is_calm(), Ordering::Relaxed);
         self.links.tell_rulings(known.digest());
         changed
     }
 
-    /// Tells all hosts a ruling of this host's, and has it kept in the table service.
-    fn tell(&self, ruling: Ruling, now: Instant) {
-        self.links.broadcast(&tellable(&[ruling], now));
-        self.keep();
+    /// Broadcasts a ruling of this host and schedules a write.
+    fn publish(&self, ruling: Ruling, now: Instant) {
+        self.links.broadcast(&rulings_message(&[ruling], now));
+        self.schedule_write();
     }
 
-    /// Has the rulings kept in the table service.
-    fn keep(&self) {
-        // A full channel means that the task is woken already.
-        let _ = self.unkept.0.try_send(());
+    /// Schedules a write of the rulings to the table service.
+    fn schedule_write(&self) {
+        // A full channel means that the task has been woken already.
+        let _ = self.write_requested.0.try_send(());
     }
 
-    /// Has them kept anew, since the table service may have lost them; what it lost is kept by one host for all.
-    pub(crate) fn keep_again(&self) {
-        if !self.calm.load(Ordering::Relaxed) {
-            self.keep_for_all();
+    /// Schedules another write by one elected host, since the table service may have lost the rulings.
+    pub(crate) fn schedule_rewrite(&self) {
+        if !self.is_empty.load(Ordering::Relaxed) {
+            self.schedule_write_if_elected();
         }
     }
 
-    /// Has them kept by one host for all, beside the one that made the ruling, which may be killed first.
-    fn keep_for_all(&self) {
-        if self.links.place_for(keeper::ROW) == 0 {
-            self.keep();
+    /// Schedules a write if this host is elected to write for all. The host that made a ruling writes it too, but may
+    /// be killed first.
+    fn schedule_write_if_elected(&self) {
+        if self.links.place_for(keeper::ROW_KEY) == 0 {
+            self.schedule_write();
         }
     }
 
-    fn is_due(&self, host: &Name, now: Instant) -> bool {
-        let mut told = lock(&self.told);
-        let is_due = told
+    fn is_resync_due(&self, host: &Name, now: Instant) -> bool {
+        let mut last_sync = lock(&self.last_sync);
+        let is_due = last_sync
             .get(host)
-            .is_none_or(|at| now.saturating_duration_since(*at) >= TELL_ALL_EVERY);
+            .is_none_or(|at| now.saturating_duration_since(*at) >= RESYNC_INTERVAL);
         if is_due {
-            told.insert(host.clone(), now);
+            last_sync.insert(host.clone(), now);
         }
         is_due
     }
 
-    fn settled(&self, ruling: &Ruling, from: Option<&str>) {
+    fn log_settled(&self, ruling: &Ruling, from: Option<&str>) {
         slog::warn!(
             self.log, "a request is kept from the servers, which end under it";
             "fingerprint" => %ruling.fingerprint, "account" => ruling.subject.account.as_deref(),
@@ -312,7 +313,7 @@
         );
     }
 
-    fn released(&self, ruling: &Ruling, why: &str) {
+    fn log_released(&self, ruling: &Ruling, why: &str) {
         slog::warn!(
             self.log, "a request that was kept from the servers is let through again";
             "fingerprint" => %ruling.fingerprint, "account" => ruling.subject.account.as_deref(),
@@ -321,12 +322,12 @@
     }
 }
 
-/// Rulings as a host tells them.
-fn tellable(rulings: &[Ruling], now: Instant) -> Message {
-    let told = rulings
+/// The message that carries rulings to other hosts.
+fn rulings_message(rulings: &[Ruling], now: Instant) -> Message {
+    let messages = rulings
         .iter()
         .map(|ruling| message::Ruling::told(ruling, now));
     Message::Rulings {
-        rulings: told.collect(),
+        rulings: messages.collect(),
     }
 }
--- a/cypressvane/src/transport/runtime.rs
+++ b/cypressvane/src/transport/runtime.rs
@@ -1,4 +1,4 @@
-//! The executor: one for the process, driven by a thread per core.
+//! The process-wide executor and its worker threads.
 
 use std::future::Future;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,10 +10,10 @@
 
 static EXECUTOR: Executor<'static> = Executor::new();
 
-/// Starts worker threads; 0 starts one for each core.
+/// Starts the worker threads; 0 starts one per core.
 ///
 /// # Panics
-/// When the system gives no thread, without which nothing can run.
+/// Panics if the system cannot create a thread, since nothing can run without one.
 pub fn start(threads: usize) {
     let cores = thread::available_parallelism().map_or(1, usize::from);
     let threads = if threads == 0 { cores } else { threads };
@@ -21,7 +21,7 @@
         thread::Builder::new()
             .name(format!("worker-{index}"))
             .spawn(|| smol::block_on(EXECUTOR.run(std::future::pending::<()>())))
-            .expect("the system gives threads");
+            .expect("the system can create a thread");
     }
 }
 
@@ -30,7 +30,7 @@
     EXECUTOR.spawn(future)
 }
 
-/// Waits for a future, but not longer than `limit`; `None` when the time is over.
+/// Waits for a future for at most `limit`; `None` on a timeout.
 pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let value = async { Some(future.await) };
     let timer = async {
@@ -40,7 +40,7 @@
     value.or(timer).await
 }
 
-/// Locks a mutex; what it guards is valid between any two statements, so a panic left it usable.
+/// Locks a mutex, poisoned or not: the data is valid between any two statements, so a panic leaves it usable.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/cypressvane/src/transport/trace.rs
+++ b/cypressvane/src/transport/trace.rs
@@ -1,4 +1,4 @@
-//! What is counted and logged of one request.
+//! Metrics and log line of one request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::transport::metrics::Times;
 use crate::transport::node::Node;
 
-/// The outcome of a request whose whole answer was passed on.
+/// The outcome of a request whose whole answer was relayed.
 pub(crate) const ANSWERED: &str = "answered";
-/// The outcome of a request whose caller hung up.
+/// The outcome of a request whose caller disconnected.
 const CALLER_GONE: &str = "caller_gone";
-/// What stands in the log where there is no backend server.
+/// The log value where there is no backend server.
 const NO_SERVER: &str = "-";
 
-/// The facts of an admitted request; it is counted, logged and released when it is dropped.
+/// The record of an admitted request; dropping it counts, logs and releases the request.
 pub(crate) struct Trace {
     node: Arc<Node>,
     pub(crate) times: Times,
@@ -31,27 +31,27 @@
     pub(crate) arrived: Instant,
     server: Name,
     outcome: &'static str,
-    /// Answer tokens that were passed on; `None` where answers are passed on unread.
+    /// Answer tokens relayed; `None` if the answer is relayed without being parsed.
     tokens: Option<u64>,
-    /// From its arrival until it may wait: its head and body were read, and its account's limit allowed it.
+    /// Time from arrival until the request may wait: its head and body were read, and its account's limit allowed it.
     admitted_ms: u64,
     waited_ms: Option<u64>,
-    /// From its arrival until a connection to a server stood.
+    /// Time from arrival to an established connection to a server.
     connected_ms: Option<u64>,
     /// Forecast time from the grant to the first token.
     forecast_ms: Option<u64>,
     first_ms: Option<u64>,
     longest_gap: Duration,
-    /// How busy the server was when it answered, where it told.
+    /// The server's load when it answered, if the server stated it.
     load: Option<Load>,
-    /// What its account gave for it, until it is sent.
+    /// The charge to the account, until the request is sent.
     charge: Option<Charge>,
-    /// Why it was refused or failed, and when its caller is to come back.
+    /// Why the request was refused or failed, and when its caller should retry.
     reason: Option<Reason>,
 }
 
 impl Trace {
-    /// Begins to count a request that the ledger has admitted.
+    /// Starts the record of a request that its account's limits have admitted.
     pub(crate) fn new(
         node: &Arc<Node>,
         request_id: String,
@@ -84,17 +84,17 @@
         }
     }
 
-    /// Notes what its account gave for the request, which goes back if it is never sent.
+    /// Records the charge to the account, which is given back if the request is never sent.
     pub(crate) fn charged(&mut self, charge: Charge) {
         self.charge = Some(charge);
     }
 
-    /// Notes that the request is sent to a backend server.
+    /// Records that the request is sent to a backend server.
     pub(crate) fn sent(&mut self) {
         self.charge = None;
     }
 
-    /// Notes the server that the request is granted.
+    /// Records the server that the request is granted.
     pub(crate) fn granted(&mut self, grant: &Grant) {
         self.server = grant.server.clone();
         self.forecast_ms = Some(millis(grant.first_token));
@@ -103,46 +103,46 @@
         self.times.waiting.observe(waited.as_secs_f64());
     }
 
-    /// Notes that a connection to the server stands.
+    /// Records that a connection to the server is established.
     pub(crate) fn connected(&mut self) {
         self.connected_ms = Some(millis(self.arrived.elapsed()));
     }
 
-    /// The server that the request was granted last.
+    /// The server that the request was last granted.
     pub(crate) fn server(&self) -> &str {
         &self.server
     }
 
-    /// Notes how busy the server was that answered.
+    /// Records the load of the server that answered.
     pub(crate) fn loaded(&mut self, load: Option<Load>) {
         self.load = load;
     }
 
-    /// Notes that the answer, or the first event of a stream, came.
+    /// Records the arrival of the answer, or of the first event of a stream.
     pub(crate) fn first_token(&mut self) {
         let waited = self.arrived.elapsed();
         self.first_ms.get_or_insert(millis(waited));
         self.times.first_token.observe(waited.as_secs_f64());
     }
 
-    /// Notes a pause between two parts of a stream.
+    /// Records a pause between two parts of a stream.
     pub(crate) fn gap(&mut self, pause: Duration) {
         self.longest_gap = self.longest_gap.max(pause);
         self.times.between_tokens.observe(pause.as_secs_f64());
     }
 
-    /// Notes answer tokens that were passed on.
+    /// Adds answer tokens that were relayed.
     pub(crate) fn count_tokens(&mut self, tokens: u64) {
         self.tokens = Some(self.tokens.unwrap_or_default() + tokens);
     }
 
-    /// Notes why the request was refused or failed.
+    /// Records why the request was refused or failed.
     pub(crate) fn fail(&mut self, reason: &Reason) {
         self.outcome = reason.code.text();
         self.reason = Some(reason.clone());
     }
 
-    /// Notes how the request ended.
+    /// Records how the request ended.
     pub(crate) fn end(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
