--- a/cypressvane/src/transport/accounts.rs
+++ b/cypressvane/src/transport/accounts.rs
@@ -303,8 +303,8 @@
 
     /// Reconnects to homes that have not replied to a charge for long, though its request continued on this host's own
     /// share, so that the next requests do not wait in vain.
-    pub(crate) fn reconnect_silent(&self, now: Instant) {
-        let mut silent = Vec::new();
+    pub(crate) fn reconnect_late(&self, now: Instant) {
+        let mut late = Vec::new();
         for pending in lock(&self.pending).values_mut() {
             if let ChargeState::ChargedLocally {
                 home,
@@ -316,10 +316,10 @@
                 && now.saturating_duration_since(*at) >= EXTRA_HOME_TIMEOUT
             {
                 *is_reconnected = true;
-                silent.push(home.clone());
+                late.push(home.clone());
             }
         }
-        for home in silent {
+        for home in late {
             self.reconnect(&home, now);
         }
     }
--- a/cypressvane/src/transport/active.rs
+++ b/cypressvane/src/transport/active.rs
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The version as a MessagePack `Bundle` for other hosts. The first call on a large version takes long to cut it.
+    /// The version as an encoded `Bundle` for other hosts. The first call on a large version takes long, as it cuts it.
     pub(crate) fn packed(&self) -> &[u8] {
         self.packed.get_or_init(|| {
             let bundle = rmp_serde::to_vec(&self.bundle());
--- a/cypressvane/src/transport/host.rs
+++ b/cypressvane/src/transport/host.rs
@@ -1,4 +1,4 @@
-//! A running host: its listeners and the tasks behind them.
+//! A running host: its listeners and its background tasks.
 
 use std::io;
 use std::net::SocketAddr;
@@ -34,39 +34,39 @@
 
 pub use crate::transport::operators::State;
 
-/// Time between two looks at offers without an answer.
-const ASK: Duration = Duration::from_millis(50);
-/// Time between two words of a shard's home on its idle places: a place is taken for about a second.
-const TELL_IDLE: Duration = Duration::from_millis(100);
-/// Time between two looks at the hosts that are well.
-const REFRESH: Duration = Duration::from_millis(100);
-/// Time without a look at the hosts from which this host itself stood still: several periods, and well below
-/// the silence after which another is suspected (2 s unless set otherwise).
-const STANDSTILL: Duration = Duration::from_millis(500);
-/// Time between two looks at what there is to log of this host's work as a home.
-const LOG_WORK: Duration = Duration::from_secs(1);
-/// Time between two sweeps of idle accounts.
-const SWEEP: Duration = Duration::from_secs(30);
-/// Time between two sweeps of requests under which servers ended.
-const SWEEP_QUARANTINE: Duration = Duration::from_secs(1);
+/// Period of the checks for missing replies, and of following roll-outs.
+const CHECK_PERIOD: Duration = Duration::from_millis(50);
+/// Period at which a shard's home reports its free slots; a slot is busy for about a second.
+const IDLE_REPORT_PERIOD: Duration = Duration::from_millis(100);
+/// Period at which the healthy hosts are determined and grants are reconciled.
+const REFRESH_PERIOD: Duration = Duration::from_millis(100);
+/// Time since the last refresh from which this host counts as having stood still: several periods, and well below
+/// the silence after which another host is suspected (2 s by default).
+const STANDSTILL_MIN: Duration = Duration::from_millis(500);
+/// Period at which this host logs its work as a home and counts the servers with limits.
+const WORK_LOG_PERIOD: Duration = Duration::from_secs(1);
+/// Period of the sweeps of idle accounts.
+const SWEEP_PERIOD: Duration = Duration::from_secs(30);
+/// Period of the sweeps of the quarantine.
+const QUARANTINE_SWEEP_PERIOD: Duration = Duration::from_secs(1);
 /// Largest configuration that may be submitted, in bytes; 33,000 accounts take 4.6 MB.
-const CONFIGURATION_BYTES_MAX: u64 = 64 << 20;
-/// Most hosts that one log line names on each side of a change: a start of everything changes all of them.
-const MOVES_LOGGED: usize = 8;
+const MAX_CONFIGURATION_BYTES: u64 = 64 << 20;
+/// Most hosts that a log line names on each side of a change; a start of the whole fleet changes all of them.
+const MAX_MOVES_LOGGED: usize = 8;
 /// Time that the operators' listener gets to finish its answers.
-const OPERATORS_STOP: Duration = Duration::from_millis(500);
+const OPERATORS_STOP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a host does not start.
+/// Why a host cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener cannot be bound.
     #[error("listeners.{listener}: {address} cannot be bound: {source}")]
     Bind {
-        /// The listener.
+        /// Name of the listener in the settings.
         listener: &'static str,
-        /// The address.
+        /// Address to which the listener should be bound.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
 }
@@ -76,7 +76,7 @@
     callers: server::Handle,
     operators: server::Handle,
     peers: server::Handle,
-    /// Where the other hosts reach the peers' listener.
+    /// Address at which the other hosts reach the peers' listener.
     peers_public: SocketAddr,
     routes: Option<server::Handle>,
 }
@@ -92,7 +92,7 @@
 /// Starts a host on a platform that speaks the project's own protocol.
 ///
 /// # Errors
-/// When a listener cannot be bound.
+/// Fails if a listener cannot be bound.
 pub fn spawn(config: Config, log: Logger) -> Result<Handle, Error> {
     let services = Services {
         table: Box::new(HttpTable(config.platform.table)),
@@ -102,10 +102,10 @@
     spawn_on(config, services, Dialect::native(), log)
 }
 
-/// Starts a host on a platform's services; `dialect` reads and writes the headers on routes.
+/// Starts a host on the services of a platform; `dialect` reads and writes the headers on routes.
 ///
 /// # Errors
-/// When a listener cannot be bound.
+/// Fails if a listener cannot be bound.
 pub fn spawn_on(
     config: Config,
     services: Services,
@@ -122,13 +122,13 @@
     };
     let node = Arc::new(Node::new(config, services, dialect, signals, log));
     let listeners = listen(&node)?;
-    // Nothing else sets it.
+    // This is the only place that sets it, so it cannot fail.
     let _ = node.listening.set(Listening {
         operators: listeners.operators.address(),
         peers: listeners.peers_public,
     });
     Ok(Handle {
-        _tasks: tasks(&node, nudges, installs),
+        _tasks: spawn_tasks(&node, nudges, installs),
         node,
         listeners,
         leave: leaving,
@@ -140,7 +140,7 @@
     let addresses = &node.config.listeners;
     let options = options(&node.config);
     let operators_options = Options {
-        body_bytes: CONFIGURATION_BYTES_MAX,
+        body_bytes: MAX_CONFIGURATION_BYTES,
         ..options.clone()
     };
     let callers = Callers::new(Arc::clone(node));
@@ -181,9 +181,9 @@
     })
 }
 
-/// Starts what runs beside the listeners.
-fn tasks(node: &Arc<Node>, nudges: Receiver<()>, installs: Receiver<()>) -> Vec<Task<()>> {
-    let periodic = |period, work| runtime::spawn(every(period, Arc::clone(node), work));
+/// Starts the background tasks.
+fn spawn_tasks(node: &Arc<Node>, nudges: Receiver<()>, installs: Receiver<()>) -> Vec<Task<()>> {
+    let periodic = |period, work| runtime::spawn(run_every(period, Arc::clone(node), work));
     vec![
         runtime::spawn(follow::run(Arc::clone(node), nudges)),
         runtime::spawn(roster::run(Arc::clone(node), installs)),
@@ -191,17 +191,17 @@
         runtime::spawn(keeper::run(Arc::clone(node))),
         runtime::spawn(rollout::run(Arc::clone(node))),
         periodic(TICK, |node, now| node.desk.tick(now)),
-        periodic(REFRESH, refresh),
-        periodic(REFRESH, |node, now| node.desk.reconcile(now)),
-        periodic(ASK, |node, now| node.desk.offer_again(now)),
-        periodic(ASK, |node, now| node.accounts.reconnect_silent(now)),
-        periodic(ASK, |node, _| roster::follow_rollouts(node)),
-        periodic(ASK, |node, now| node.rollouts.report(now)),
-        periodic(TELL_IDLE, |node, now| node.desk.tell_idle(now)),
-        periodic(LOG_WORK, |node, now| node.desk.log_work(now)),
-        periodic(LOG_WORK, count_limited),
-        periodic(SWEEP, |node, now| node.accounts.sweep(now)),
-        periodic(SWEEP_QUARANTINE, |node, now| {
+        periodic(REFRESH_PERIOD, refresh),
+        periodic(REFRESH_PERIOD, |node, now| node.desk.reconcile(now)),
+        periodic(CHECK_PERIOD, |node, now| node.desk.offer_again(now)),
+        periodic(CHECK_PERIOD, |node, now| node.accounts.reconnect_late(now)),
+        periodic(CHECK_PERIOD, |node, _| roster::follow_rollouts(node)),
+        periodic(CHECK_PERIOD, |node, now| node.rollouts.report(now)),
+        periodic(IDLE_REPORT_PERIOD, |node, now| node.desk.tell_idle(now)),
+        periodic(WORK_LOG_PERIOD, |node, now| node.desk.log_work(now)),
+        periodic(WORK_LOG_PERIOD, update_limited_servers),
+        periodic(SWEEP_PERIOD, |node, now| node.accounts.sweep(now)),
+        periodic(QUARANTINE_SWEEP_PERIOD, |node, now| {
             node.quarantine.sweep(&node.metrics, now);
         }),
     ]
@@ -231,7 +231,7 @@
     })
 }
 
-async fn every(period: Duration, node: Arc<Node>, work: fn(&Node, Instant)) {
+async fn run_every(period: Duration, node: Arc<Node>, work: fn(&Node, Instant)) {
     loop {
         Timer::after(period).await;
         work(&node, Instant::now());
@@ -239,12 +239,12 @@
 }
 
 fn refresh(node: &Node, now: Instant) {
-    note_standstill(node, now);
+    detect_standstill(node, now);
     let before = node.links.homes();
     if let Some(moves) = node.links.refresh(now) {
         let homes = node.links.homes();
         node.accounts.rehome(&before, &homes, now);
-        note_moves(node, &moves, now);
+        log_moves(node, &moves, now);
         node.desk.rehome(now);
     }
     node.roster.follow(roster::attention(node));
@@ -253,19 +253,19 @@
     node.desk.share_limits(now);
 }
 
-fn count_limited(node: &Node, _: Instant) {
+fn update_limited_servers(node: &Node, _: Instant) {
     let limited = i64::try_from(node.desk.limited_servers()).unwrap_or(i64::MAX);
     node.metrics.limited_servers.set(limited);
 }
 
-/// Notices that this host stood still: suspended with its machine, or stopped by itself.
-fn note_standstill(node: &Node, now: Instant) {
+/// Detects that this host stood still: its machine was suspended, or its process was stopped.
+fn detect_standstill(node: &Node, now: Instant) {
     let lap = node.lap();
-    if lap.passed < STANDSTILL {
+    if lap.passed < STANDSTILL_MIN {
         return;
     }
     node.links
-        .stood_still(lap.passed.saturating_sub(REFRESH), now);
+        .stood_still(lap.passed.saturating_sub(REFRESH_PERIOD), now);
     slog::warn!(
         node.log, "this host stood still";
         "ms" => millis(lap.passed), "suspended_ms" => millis(lap.suspended),
@@ -273,16 +273,16 @@
     );
 }
 
-/// Logs which hosts may be homes from now on, and why others no longer may.
-fn note_moves(node: &Node, moves: &Moves, now: Instant) {
-    let lost = moves.lost.iter().take(MOVES_LOGGED);
+/// Logs which hosts may be homes from now on, and why others may no longer be.
+fn log_moves(node: &Node, moves: &Moves, now: Instant) {
+    let lost = moves.lost.iter().take(MAX_MOVES_LOGGED);
     let lost: Vec<_> = lost
         .map(|(name, unfit)| format!("{name} {}", unfit.text()))
         .collect();
     let gained: Vec<&str> = moves
         .gained
         .iter()
-        .take(MOVES_LOGGED)
+        .take(MAX_MOVES_LOGGED)
         .map(|name| &**name)
         .collect();
     slog::info!(
@@ -295,25 +295,25 @@
 }
 
 impl Handle {
-    /// Where callers are answered.
+    /// Address of the listener for callers.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.listeners.callers.address()
     }
 
-    /// Where operators are answered.
+    /// Address of the listener for operators.
     #[must_use]
     pub fn operators(&self) -> SocketAddr {
         self.listeners.operators.address()
     }
 
-    /// Where the other hosts are answered.
+    /// Address of the listener for the other hosts.
     #[must_use]
     pub fn peers(&self) -> SocketAddr {
         self.listeners.peers.address()
     }
 
-    /// Where callers on routes are answered.
+    /// Address of the listener for callers on routes; `None` if there is no such listener.
     #[must_use]
     pub fn routes(&self) -> Option<SocketAddr> {
         self.listeners.routes.as_ref().map(server::Handle::address)
@@ -325,9 +325,9 @@
         let _ = self.leave.recv().await;
     }
 
-    /// Leaves: tells the balancer and the peers, lets requests finish, and ends.
+    /// Drains this host: notifies the load balancer and the peers, lets requests finish, and stops.
     ///
-    /// Returns the number of requests that were cut; 0 means that all finished in time.
+    /// Returns the number of requests that were cut off; 0 means that all finished in time.
     pub async fn drain(self) -> usize {
         let timeouts = &self.node.config.timeouts;
         let (grace, limit) = (
@@ -349,7 +349,7 @@
         };
         future::zip(listeners.callers.stop(limit), routes).await;
         let cut = self.node.desk.held();
-        listeners.operators.stop(OPERATORS_STOP).await;
+        listeners.operators.stop(OPERATORS_STOP_TIMEOUT).await;
         slog::info!(self.node.log, "left"; "cut" => cut);
         cut
     }
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a host share.
+//! The state that all tasks of a host share.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -28,20 +28,20 @@
 use crate::transport::rollout::Rollouts;
 use crate::transport::runtime::{lock, within};
 
-/// How long the place of the configuration may give no answer until callers are sent elsewhere: longer
-/// than a slow answer takes.
+/// Time without an answer from the configuration's source after which callers are sent elsewhere; longer than a slow
+/// answer takes.
 const CUT_OFF_AFTER: Duration = Duration::from_secs(2);
 
-/// What a caller is told to wait when this host cannot judge its request yet.
+/// Retry-after of a request that this host cannot judge yet.
 pub(crate) const NOT_READY_RETRY: Duration = Duration::from_millis(500);
 
-/// What all tasks of a host share.
+/// The state that all tasks of a host share.
 pub(crate) struct Node {
     pub(crate) config: Config,
-    /// Grows from one start of this host to the next.
+    /// Start time in milliseconds since the Unix epoch, so that it grows from one start of this host to the next.
     pub(crate) incarnation: u64,
     pub(crate) started: Instant,
-    /// Tells for how long this host stood still.
+    /// Measures for how long this host stood still.
     watch: Mutex<Watch>,
     pub(crate) log: Logger,
     pub(crate) metrics: Metrics,
@@ -56,41 +56,41 @@
     pub(crate) rollouts: Rollouts,
     pub(crate) signals: Signals,
     active: ArcSwapOption<Active>,
-    /// Closed when a configuration is in force, and the host list and the quarantine were read.
-    begun: (Sender<()>, Receiver<()>),
-    installing: Mutex<()>,
+    /// Closed once a configuration is in force, and the host list and the quarantine have been read.
+    initialized: (Sender<()>, Receiver<()>),
+    install_lock: Mutex<()>,
     budget: Mutex<Budget>,
-    /// On the configuration in force, and with it on the accounts' keys.
+    /// The lease on the configuration in force, and so on the accounts' keys.
     lease: Mutex<Lease>,
     /// The entries of the host list as last read.
     pub(crate) listed: ArcSwap<Vec<Entry>>,
-    /// Since when the place of the configuration gives no answer.
+    /// Time since which the configuration's source has not answered.
     source_lost: Mutex<Option<Instant>>,
-    /// When the place of the configuration answered another host last.
+    /// When the configuration's source last answered another host.
     answered_elsewhere: Mutex<Option<Instant>>,
-    /// Where it listens, once it does.
+    /// Addresses that are published in the host list, once this host listens.
     pub(crate) listening: OnceLock<Listening>,
-    /// When the platform answered again after it was away.
-    back: Mutex<Option<Instant>>,
-    /// How often the platform has come back from an older copy, and one; 0 before that is known.
+    /// When the platform last started to answer again after an outage.
+    platform_back: Mutex<Option<Instant>>,
+    /// Number of times that the platform came back from an older copy, plus one; 0 before that is known.
     returns: AtomicU64,
     draining: AtomicBool,
 }
 
-/// Where a host listens for those who find it in the host list.
+/// The listener addresses of a host that are published in the host list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Listening {
     pub(crate) operators: SocketAddr,
     pub(crate) peers: SocketAddr,
 }
 
-/// Wakes other tasks and the process; each holds one signal.
+/// Channels that wake other tasks and the process; each holds one signal.
 pub(crate) struct Signals {
     /// Wakes the task that follows the configuration.
     pub(crate) nudge: Sender<()>,
-    /// Wakes the task that follows the host list, since a configuration gives servers their slots.
+    /// Wakes the task that follows the host list, since the configuration defines the servers' slots.
     pub(crate) installed: Sender<()>,
-    /// Tells the process that an operator asked this host to leave.
+    /// Notifies the process that an operator asked this host to leave.
     pub(crate) leave: Sender<()>,
 }
 
@@ -125,15 +125,15 @@
             rollouts,
             signals,
             active: ArcSwapOption::empty(),
-            begun: async_channel::bounded(1),
-            installing: Mutex::new(()),
+            initialized: async_channel::bounded(1),
+            install_lock: Mutex::new(()),
             budget: Mutex::new(Budget::open(Instant::now())),
             lease: Mutex::new(Lease::new(config.platform.key_lease())),
             listed: ArcSwap::default(),
             source_lost: Mutex::new(None),
             answered_elsewhere: Mutex::new(None),
             listening: OnceLock::new(),
-            back: Mutex::new(None),
+            platform_back: Mutex::new(None),
             returns: AtomicU64::new(0),
             draining: AtomicBool::new(false),
             config,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The time since the last such look.
+    /// The time since the last call.
     pub(crate) fn lap(&self) -> Lap {
         lock(&self.watch).lap()
     }
@@ -151,26 +151,26 @@
         self.active.load_full()
     }
 
-    /// Waits on a host that starts until it knows what it needs to serve, but not longer than the caller
-    /// has patience: to be told to come back costs a caller more than reading that takes.
+    /// Waits until a starting host can serve requests, but no longer than the caller's patience or the start timeout: a
+    /// refusal with a retry would cost the caller more than this wait.
     pub(crate) async fn begun(&self, patience: Option<Duration>) {
         let start = Timeouts::of(self.config.timeouts.start_ms);
         let limit = patience.map_or(start, |patience| patience.min(start));
-        // The channel carries nothing. It is closed when the host has begun, which ends each wait at once.
-        let _ = within(limit, self.begun.1.recv()).await;
+        // The channel carries no values; it is closed on initialization, which ends all waits at once.
+        let _ = within(limit, self.initialized.1.recv()).await;
     }
 
-    /// Notes that a configuration is in force, that the host list was read, or that it is known which
-    /// requests are kept from the servers.
+    /// Ends the waits for initialization if it is complete. This is called when a configuration is in force, the host
+    /// list has been read, or the quarantine has been loaded.
     pub(crate) fn note_begun(&self) {
         let knows_all =
             self.active.load().is_some() && self.links.has_roster() && self.quarantine.is_loaded();
         if knows_all {
-            self.begun.0.close();
+            self.initialized.0.close();
         }
     }
 
-    /// The version in force; 0 when there is none.
+    /// The configuration version in force; 0 if there is none.
     pub(crate) fn version(&self) -> u64 {
         self.active
             .load()
@@ -178,15 +178,15 @@
             .map_or(0, |active| active.record.version)
     }
 
-    /// Whether another host has told of a newer version than the one in force here.
+    /// Whether another host has reported a newer version than the one in force here.
     pub(crate) fn is_behind(&self) -> bool {
         self.links.newest_version() > self.version()
     }
 
-    /// Why a request is refused that names something which the version in force does not have.
+    /// The refusal reason for a request that names something which the version in force does not have.
     ///
-    /// Callers take `unknown` for final. Where another host has told of a newer version, which may have it, the request
-    /// is asked back instead: this host has that version soon.
+    /// Callers treat `unknown` as final. If another host has reported a newer version, which may have it, the caller is
+    /// asked to retry instead, since this host will have that version soon.
     pub(crate) fn unknown(&self, unknown: Reason) -> Reason {
         if !self.is_behind() {
             return unknown;
@@ -195,9 +195,9 @@
         Reason::later(Code::NotReady, message, NOT_READY_RETRY)
     }
 
-    /// Puts a configuration in force unless the one in force is as high; tells whether it did.
+    /// Puts a configuration in force unless the one in force is as new or newer; returns whether it did.
     pub(crate) fn install(&self, active: Active) -> bool {
-        let _installing = lock(&self.installing);
+        let _install_guard = lock(&self.install_lock);
         let version = active.record.version;
         if version <= self.version() {
             return false;
@@ -205,7 +205,7 @@
         self.active.store(Some(Arc::new(active)));
         self.note_begun();
         self.links.tell_version(version);
-        // A full channel means that the task is woken already.
+        // A full channel means that the task has been woken already.
         let _ = self.signals.installed.try_send(());
         self.metrics
             .version
@@ -214,26 +214,26 @@
         true
     }
 
-    /// Counts a request that callers sent for a service.
+    /// Adds a caller's request for a service to the retry budget.
     pub(crate) fn count_request(&self, service: &Name, now: Instant) {
-        lock(&self.budget).request(service, &self.repeat_bounds(), now);
+        lock(&self.budget).request(service, &self.retry_bounds(), now);
     }
 
-    /// Takes one sending of a request to another server from the budget, if it has one.
+    /// Takes a retry on another server from the service's budget; returns whether the budget had one.
     pub(crate) fn may_repeat(&self, service: &Name, now: Instant) -> bool {
-        lock(&self.budget).repeat(service, &self.repeat_bounds(), now)
+        lock(&self.budget).repeat(service, &self.retry_bounds(), now)
     }
 
-    /// Notes how many hosts share the budget of repeats, once the host list was read.
+    /// Sets the number of hosts that share the retry budget, once the host list has been read.
     pub(crate) fn share_budget(&self, now: Instant) {
         if self.links.has_roster() {
-            let bounds = self.repeat_bounds();
+            let bounds = self.retry_bounds();
             lock(&self.budget).shared_by(self.links.known(), &bounds, now);
         }
     }
 
-    /// The fleet's budget of repeats.
-    fn repeat_bounds(&self) -> budget::Bounds {
+    /// The bounds of the fleet's retry budget.
+    fn retry_bounds(&self) -> budget::Bounds {
         let retries = &self.config.retries;
         budget::Bounds {
             ratio: retries.ratio,
@@ -242,13 +242,13 @@
         }
     }
 
-    /// Counts a call to one of the platform's services that gave no answer.
+    /// Counts a call without an answer to one of the platform's services.
     pub(crate) fn note_platform_failure(&self, service: &str) {
         let failures = &self.metrics.platform_failures;
         failures.with_label_values(&[service]).inc();
     }
 
-    /// Notes whether the place of the configuration answers; tells whether that is news.
+    /// Records whether the configuration's source answers; returns whether that has changed.
     pub(crate) fn note_source(&self, answers: bool, now: Instant) -> bool {
         let mut lost = lock(&self.source_lost);
         let is_news = lost.is_some() == answers;
@@ -259,33 +259,33 @@
         is_news
     }
 
-    /// Notes that the place of the configuration answered another host at `moment` or later.
+    /// Records that the configuration's source answered another host at `moment` or later.
     pub(crate) fn note_answered_elsewhere(&self, moment: Instant) {
         let mut answered = lock(&self.answered_elsewhere);
         *answered = (*answered).max(Some(moment));
     }
 
-    /// When the place of the configuration answered another host last.
+    /// When the configuration's source last answered another host.
     pub(crate) fn answered_elsewhere(&self) -> Option<Instant> {
         *lock(&self.answered_elsewhere)
     }
 
-    /// Whether the place of the configuration gave no answer last.
+    /// Whether the last call to the configuration's source gave no answer.
     pub(crate) fn source_is_lost(&self) -> bool {
         lock(&self.source_lost).is_some()
     }
 
-    /// Whether the place of the configuration has given no answer for long.
+    /// Whether the configuration's source has not answered for `CUT_OFF_AFTER`.
     ///
-    /// Such a host may still serve, as others tell it that its knowledge is fresh, but it does not see
-    /// what changes beside, and callers are better served elsewhere.
+    /// Such a host may still serve, as other hosts confirm that its configuration is fresh, but it does not see other
+    /// changes, and callers are better served elsewhere.
     fn is_cut_off(&self, now: Instant) -> bool {
         let lost = *lock(&self.source_lost);
         lost.is_some_and(|since| now.saturating_duration_since(since) >= CUT_OFF_AFTER)
     }
 
-    /// Gives back to an account what a request was given that was not sent; an account that no version
-    /// in force here has any more has no limit to put it back to.
+    /// Gives back the charge of a request that was not sent. An account that the version in force does not have any
+    /// more has no limit to give it back to.
     pub(crate) fn give_back(&self, account: &Name, charge: &Charge) {
         let active = self.active();
         let known = active.as_ref();
@@ -294,23 +294,23 @@
         }
     }
 
-    /// Notes that the platform answers again after it was away.
+    /// Records that the platform answers again after an outage.
     pub(crate) fn note_platform_back(&self, at: Instant) {
-        let mut back = lock(&self.back);
+        let mut back = lock(&self.platform_back);
         *back = (*back).max(Some(at));
     }
 
-    /// When the platform answered again after it was away.
+    /// When the platform last started to answer again after an outage.
     pub(crate) fn platform_back(&self) -> Option<Instant> {
-        *lock(&self.back)
+        *lock(&self.platform_back)
     }
 
-    /// Notes how often the platform has come back from an older copy; what hosts had written there last is gone then, and
+    /// Records how often the platform has come back from an older copy; what hosts last wrote there is lost then, and
     /// is written again.
     pub(crate) fn note_returns(&self, returns: u64) {
         let known = returns.saturating_add(1);
         let before = self.returns.fetch_max(known, Ordering::Relaxed);
-        // The first answer tells only how often that was before this host.
+        // The first value only counts what happened before this host started.
         if before == 0 || known <= before {
             return;
         }
@@ -320,28 +320,28 @@
         );
         self.note_platform_back(Instant::now());
         self.quarantine.schedule_rewrite();
-        self.rollouts.note_return();
+        self.rollouts.note_platform_restored();
     }
 
-    /// Notes that the table service answered.
+    /// Records an answer of the table service, which confirms the configuration in force.
     pub(crate) fn note_table_read(&self) {
         self.confirm(Instant::now());
     }
 
-    /// Notes that the configuration in force was the newest at `moment` or later.
+    /// Records that the configuration in force was the newest at `moment` or later.
     pub(crate) fn confirm(&self, moment: Instant) {
         lock(&self.lease).confirm(moment);
     }
 
-    /// How long ago the configuration in force was confirmed as the newest.
+    /// Time since the configuration in force was last confirmed as the newest.
     pub(crate) fn confirmed_ago(&self) -> Option<Duration> {
         lock(&self.lease).age(Instant::now())
     }
 
     /// Whether the accounts' keys may still be taken as valid at `now`.
     ///
-    /// Where keys are to be void within a time of their withdrawal, a host that has not seen the
-    /// configuration confirmed for so long cannot know.
+    /// If withdrawn keys must become void within a set time, a host that has not seen the configuration confirmed for
+    /// that long cannot know which keys are valid.
     pub(crate) fn knows_keys(&self, now: Instant) -> bool {
         lock(&self.lease).holds(now)
     }
@@ -350,13 +350,13 @@
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Marks this host as leaving, for the balancer and the peers.
+    /// Marks this host as leaving, for the load balancer and the peers.
     pub(crate) fn begin_drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
         self.links.tell_draining();
     }
 
-    /// How this host stands in the host list; `None` until it listens.
+    /// This host's entry in the host list; `None` until it listens.
     pub(crate) fn entry(&self) -> Option<Entry> {
         let host = &self.config.host;
         let listening = self.listening.get()?;
@@ -375,7 +375,7 @@
         })
     }
 
-    /// Whether callers are to be sent here.
+    /// Whether callers should be sent to this host.
     pub(crate) fn ready(&self) -> bool {
         self.active.load().is_some()
             && self.links.has_roster()
--- a/cypressvane/src/transport/rollout/coordinator.rs
+++ b/cypressvane/src/transport/rollout/coordinator.rs
@@ -1,11 +1,11 @@
-//! The coordinator's side: what this host decides for all, and keeps in the platform.
+//! The coordinator's part: decides orders for all hosts, and stores their progress in the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use smol::Timer;
 
-use super::{Rollouts, subject};
+use super::{Rollouts, coordinator_subject};
 use crate::coordination::rollout::{Report, Rollout, Shown, Word};
 use crate::protocol::message::{Message, RolloutWord};
 use crate::state::clock::Instant;
@@ -15,17 +15,17 @@
 use crate::transport::node::Node;
 use crate::transport::runtime::lock;
 
-/// Time between two looks at what is to be decided and kept.
-const STEP: Duration = Duration::from_millis(50);
-/// Rest after a call to the platform that gave no answer.
-const REST: Duration = Duration::from_millis(300);
+/// Interval at which orders are decided and their progress is stored.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay after a call to the platform that gave no answer.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// An order whose coordinator this host is or was.
+/// An order that this host coordinates or has coordinated.
 #[derive(Debug)]
 pub(super) struct Coordinated {
     rollout: Rollout,
-    /// What hosts were told last beside their permits.
-    told: Option<Word>,
+    /// The last instruction to all hosts, in which permits are not counted.
+    last_sent: Option<Word>,
 }
 
 impl Coordinated {
@@ -46,12 +46,12 @@
     }
 }
 
-/// Decides the orders whose coordinator this host is, for as long as it runs.
+/// Decides the orders that this host coordinates, for as long as it runs.
 pub(crate) async fn run(node: Arc<Node>) {
     let Some(source) = &node.source else { return };
     loop {
-        Timer::after(STEP).await;
-        node.rollouts.leave_moved();
+        Timer::after(STEP_INTERVAL).await;
+        node.rollouts.forget_moved();
         for order in node.rollouts.open_orders() {
             if let Err(error) = step(&node, source.as_ref(), &order).await {
                 node.note_platform_failure("rollouts");
@@ -59,13 +59,13 @@
                     node.log, "a roll-out is not read or kept yet";
                     "service" => &*order.service, "number" => order.number, "cause" => %error,
                 );
-                Timer::after(REST).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Opens an order, or keeps what is new of it.
+/// Starts to coordinate an order, or stores its new progress.
 async fn step(node: &Node, source: &dyn Source, order: &Order) -> Result<(), Error> {
     let rollouts = &node.rollouts;
     if !rollouts.coordinates(order) {
@@ -73,19 +73,19 @@
         rollouts.open(source, order, kept.as_ref());
     }
     let now = Instant::now();
-    rollouts.tell_all(&order.service, now);
+    rollouts.send_changes(&order.service, now);
     match rollouts.next_progress(&order.service, now) {
         Some(progress) => {
-            keep(node, source, order, &progress).await?;
-            rollouts.tell_all(&order.service, Instant::now());
+            store_progress(node, source, order, &progress).await?;
+            rollouts.send_changes(&order.service, Instant::now());
         }
-        None => rollouts.note_settled(&order.service),
+        None => rollouts.note_up_to_date(&order.service),
     }
     Ok(())
 }
 
-/// Keeps a roll-out's progress, unless another coordinator has kept its end.
-async fn keep(
+/// Stores a roll-out's progress, unless the platform has its end or a larger allotment already.
+async fn store_progress(
     node: &Node,
     source: &dyn Source,
     order: &Order,
@@ -96,7 +96,7 @@
     if let Some(own) = own
         && (own.progress.stage != Stage::InProgress || own.progress.allotted > progress.allotted)
     {
-        // Also where an earlier write of this host's took effect whose answer was lost.
+        // This includes an earlier write by this host that took effect although its reply was lost.
         node.rollouts.adopt(&order.service, &own.progress);
         return Ok(());
     }
@@ -106,37 +106,37 @@
         .await?
         == Write::Done
     {
-        node.rollouts.note_kept(&order.service, progress);
+        node.rollouts.note_stored(&order.service, progress);
     }
     Ok(())
 }
 
 impl Rollouts {
-    /// The orders that are not decided and whose coordinator this host is.
+    /// The orders coordinated by this host that are undecided or whose progress must be written again.
     fn open_orders(&self) -> Vec<Order> {
         let versions = lock(&self.versions);
         let open = versions.iter().filter(|(service, known)| {
-            (known.stage.is_none() || known.is_unkept)
-                && self.links.home_of(&subject(service)) == self.me
+            (known.stage.is_none() || known.needs_rewrite)
+                && self.links.home_of(&coordinator_subject(service)) == self.me
         });
         open.filter_map(|(_, known)| known.order.clone()).collect()
     }
 
-    /// Forgets the orders that another host coordinates now: it hands out what this one does not know of, and keeps that
-    /// in the platform, from where this host begins again if it is to.
-    fn leave_moved(&self) {
+    /// Forgets the orders that another host coordinates now. That host hands out permits that this one does not know
+    /// of, and stores them in the platform, from where this host resumes if it becomes the coordinator again.
+    fn forget_moved(&self) {
         lock(&self.coordinated)
-            .retain(|service, _| self.links.home_of(&subject(service)) == self.me);
+            .retain(|service, _| self.links.home_of(&coordinator_subject(service)) == self.me);
     }
 
-    /// Whether this host has opened the order.
+    /// Whether this host has started to coordinate the order.
     fn coordinates(&self, order: &Order) -> bool {
         let coordinated = lock(&self.coordinated);
         let own = coordinated.get(&order.service);
         own.is_some_and(|own| own.number() == order.number)
     }
 
-    /// Begins to coordinate an order, as far as it has come.
+    /// Starts to coordinate an order from its stored progress.
     fn open(&self, source: &dyn Source, order: &Order, kept: Option<&Kept>) {
         let now = Instant::now();
         let kept = kept.map(|kept| &kept.progress);
@@ -162,12 +162,12 @@
         );
         let coordinated = Coordinated {
             rollout,
-            told: None,
+            last_sent: None,
         };
         lock(&self.coordinated).insert(order.service.clone(), coordinated);
     }
 
-    /// How an order has ended, where this host has heard of it.
+    /// How an order ended, if this host knows.
     fn known_stage(&self, order: &Order) -> Option<Stage> {
         match self.known_end(&order.service, order.number)? {
             Word::Ended(stage) => Some(stage),
@@ -175,39 +175,39 @@
         }
     }
 
-    /// Notes that what is kept of an order is as this host knows it.
-    fn note_settled(&self, service: &Name) {
+    /// Records that the stored progress of a service's order is up to date.
+    fn note_up_to_date(&self, service: &Name) {
         if let Some(known) = lock(&self.versions).get_mut(service) {
-            known.is_unkept = false;
+            known.needs_rewrite = false;
         }
     }
 
-    /// Whether a version gets the service's requests.
+    /// Whether a version serves the service's requests.
     fn serves(&self, service: &Name, version: &Name) -> bool {
         let versions = lock(&self.versions);
         let known = versions.get(service);
         known.is_some_and(|known| known.serving.as_ref() == Some(version))
     }
 
-    /// Takes over what another coordinator has kept.
+    /// Takes over progress that was stored in the platform.
     fn adopt(&self, service: &Name, progress: &Progress) {
         if let Some(own) = lock(&self.coordinated).get_mut(service) {
             own.rollout.adopt(progress);
         }
     }
 
-    /// What is to be kept next of a service's order.
+    /// The progress of a service's order to be stored next.
     fn next_progress(&self, service: &Name, now: Instant) -> Option<Progress> {
         lock(&self.coordinated).get_mut(service)?.rollout.step(now)
     }
 
-    fn note_kept(&self, service: &Name, progress: &Progress) {
+    fn note_stored(&self, service: &Name, progress: &Progress) {
         if let Some(own) = lock(&self.coordinated).get_mut(service) {
             own.rollout.kept(progress);
         }
     }
 
-    /// Takes in a host's report, and answers it.
+    /// Handles a host's report and replies to it.
     pub(crate) fn hear_report(
         &self,
         from: &Name,
@@ -226,24 +226,24 @@
         let Some(word) = word.or_else(|| self.known_end(service, number)) else {
             return;
         };
-        self.tell_all(service, now);
+        self.send_changes(service, now);
         let Some(to) = self.ordered_version(service, number) else {
             return;
         };
-        let said = RolloutWord {
+        let instruction = RolloutWord {
             service: service.clone(),
             number,
             to,
             word,
         };
         if *from == self.me {
-            self.hear_word(&said, now);
+            self.hear_word(&instruction, now);
         } else {
-            self.links.send(from, Message::RolloutWord(said));
+            self.links.send(from, Message::RolloutWord(instruction));
         }
     }
 
-    /// How an order has ended, where this host has heard of it.
+    /// The final instruction of an order, if this host knows how the order ended.
     fn known_end(&self, service: &Name, number: u64) -> Option<Word> {
         let versions = lock(&self.versions);
         let known = versions.get(service)?;
@@ -258,18 +258,18 @@
         (order.number == number).then(|| order.to.clone())
     }
 
-    /// Tells all hosts, this one included, when they are to do otherwise.
-    fn tell_all(&self, service: &Name, now: Instant) {
-        let said = {
+    /// Sends a changed instruction to all hosts, this one included; permits are only sent in reply to reports.
+    fn send_changes(&self, service: &Name, now: Instant) {
+        let instruction = {
             let mut coordinated = lock(&self.coordinated);
             let Some(own) = coordinated.get_mut(service) else {
                 return;
             };
             let word = own.rollout.word();
-            if own.told == Some(word) {
+            if own.last_sent == Some(word) {
                 return;
             }
-            own.told = Some(word);
+            own.last_sent = Some(word);
             let shown = own.rollout.shown();
             slog::info!(
                 self.log, "a roll-out goes on";
@@ -284,10 +284,11 @@
                 word,
             }
         };
-        if matches!(said.word, Word::Canary(_)) {
+        if matches!(instruction.word, Word::Canary(_)) {
             return;
         }
-        self.links.broadcast(&Message::RolloutWord(said.clone()));
-        self.hear_word(&said, now);
+        self.links
+            .broadcast(&Message::RolloutWord(instruction.clone()));
+        self.hear_word(&instruction, now);
     }
 }
--- a/cypressvane/src/transport/rollout/known.rs
+++ b/cypressvane/src/transport/rollout/known.rs
@@ -1,4 +1,4 @@
-//! What this host knows of services' versions: from the host list, from operators' orders, and of their ends.
+//! What this host knows of the services' versions: the host list's servers, the operators' orders, and their outcomes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,20 +19,20 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Versions {
     pub(super) listed: BTreeMap<Name, usize>,
-    /// The version that gets its traffic.
+    /// The version that serves the service's requests.
     pub(super) serving: Option<Name>,
     pub(super) order: Option<Order>,
-    /// How the order stands, where that is known.
+    /// How the order ended; `None` until that is known.
     pub(super) stage: Option<Stage>,
-    /// Whether the platform may have lost what was kept of it.
-    pub(super) is_unkept: bool,
+    /// Whether the platform may have lost the stored progress of the order.
+    pub(super) needs_rewrite: bool,
 }
 
-/// Which servers of a service may get requests.
+/// The servers of a service that may get requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Allowed {
     serving: Option<Name>,
-    /// The version that is tried, and those of its servers that are canaries.
+    /// The version that is being tried, and those of its servers that may get requests.
     tried: Option<(Name, Vec<Name>)>,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Rollouts {
-    /// Takes in the servers of the host list.
+    /// Updates the versions from the servers in the host list.
     pub(crate) fn note_listed<'a>(&self, servers: impl Iterator<Item = &'a Entry>) {
         let mut listed: BTreeMap<Name, BTreeMap<Name, usize>> = BTreeMap::new();
         for entry in servers {
@@ -68,11 +68,11 @@
         for (service, counts) in listed {
             let known = versions.entry(service.clone()).or_default();
             known.listed = counts;
-            self.settle(&service, known);
+            self.update_routing(&service, known);
         }
     }
 
-    /// Takes in the operators' orders.
+    /// Updates the orders from those that operators have issued.
     pub(crate) fn note_orders(&self, orders: &[Order]) {
         let mut versions = lock(&self.versions);
         for order in orders {
@@ -99,12 +99,12 @@
             );
             known.order = Some(order.clone());
             known.stage = None;
-            self.settle(&order.service, known);
-            self.has_moved.store(true, Ordering::Relaxed);
+            self.update_routing(&order.service, known);
+            self.has_changed.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Goes on with an order that operators have written again, under its new number.
+    /// Continues an order that operators have written again, under its new number.
     fn renumber(&self, known: &mut Versions, order: &Order) {
         slog::info!(
             self.log, "an order that the platform had lost is written again";
@@ -114,21 +114,21 @@
         if let Some(own) = lock(&self.coordinated).get_mut(&order.service) {
             own.renumber(order);
         }
-        self.settle(&order.service, known);
+        self.update_routing(&order.service, known);
     }
 
-    /// Notes that the platform came back from an older copy: what is kept of the orders may be lost.
-    pub(crate) fn note_return(&self) {
+    /// Records that the platform came back from an older copy, so the stored progress of the orders may be lost.
+    pub(crate) fn note_platform_restored(&self) {
         for known in lock(&self.versions).values_mut() {
-            known.is_unkept = known.order.is_some();
+            known.needs_rewrite = known.order.is_some();
         }
         for own in lock(&self.coordinated).values_mut() {
             own.forget_kept();
         }
     }
 
-    /// Brings what the path of requests sees up to date with what is known of a service.
-    fn settle(&self, service: &Name, known: &mut Versions) {
+    /// Updates a service's routing from what is known of its versions.
+    fn update_routing(&self, service: &Name, known: &mut Versions) {
         let ordered = known.order.as_ref().map(|order| (&order.to, known.stage));
         let serving = version::serving(&Known {
             listed: known.listed.clone(),
@@ -143,39 +143,42 @@
             );
             known.serving = serving;
         }
-        let open = self.service(service);
-        open.pool
+        let routing = self.routing(service);
+        routing
+            .pool
             .store(Arc::new(pool_of(service, known.serving.as_ref())));
         let tried = known
             .order
             .as_ref()
             .filter(|order| known.stage.is_none() && known.serving.as_ref() != Some(&order.to));
-        let is_open = open.canary.load().as_ref().map(|canary| canary.number);
+        let open_number = routing.canary.load().as_ref().map(|canary| canary.number);
         match tried {
-            None => open.canary.store(None),
-            Some(order) if is_open == Some(order.number) => {}
+            None => routing.canary.store(None),
+            Some(order) if open_number == Some(order.number) => {}
             Some(order) => {
                 let pool = pool_of(service, Some(&order.to));
-                open.canary.store(Some(Arc::new(Canary::new(order, pool))));
+                routing
+                    .canary
+                    .store(Some(Arc::new(Canary::new(order, pool))));
             }
         }
     }
 
-    /// Which servers of a service may get requests, of those in the host list.
+    /// The servers of a service that may get requests, out of those in the host list.
     pub(crate) fn allowed(&self, service: &Name, servers: &[&Entry]) -> Allowed {
         let versions = lock(&self.versions);
         let Some(known) = versions.get(service) else {
             return Allowed::default();
         };
-        let services = self.services.load();
-        let canary = services
+        let routings = self.routings.load();
+        let canary = routings
             .get(service)
             .and_then(|known| known.canary.load_full());
         let tried = canary.map(|canary| {
-            let of_it = servers
+            let new_servers = servers
                 .iter()
                 .filter(|entry| entry.version.as_ref() == Some(&canary.to));
-            let names: Vec<Name> = of_it.map(|entry| entry.name.clone()).collect();
+            let names: Vec<Name> = new_servers.map(|entry| entry.name.clone()).collect();
             let names = if canary.takes_all() {
                 names
             } else {
@@ -189,20 +192,25 @@
         }
     }
 
-    /// Notes how an order has ended; tells whether that is news.
-    pub(super) fn note_end(&self, known: &mut Versions, said: &RolloutWord, stage: Stage) -> bool {
+    /// Records how an order ended; returns whether that is news.
+    pub(super) fn note_end(
+        &self,
+        known: &mut Versions,
+        instruction: &RolloutWord,
+        stage: Stage,
+    ) -> bool {
         let is_known = known
             .order
             .as_ref()
-            .is_some_and(|order| order.number == said.number);
+            .is_some_and(|order| order.number == instruction.number);
         if is_known && known.stage == Some(stage) {
             return false;
         }
         if !is_known {
             known.order = Some(Order {
-                service: said.service.clone(),
-                to: said.to.clone(),
-                number: said.number,
+                service: instruction.service.clone(),
+                to: instruction.to.clone(),
+                number: instruction.number,
                 era: 0,
                 seen_ms: 0,
                 duration: Duration::ZERO,
@@ -211,10 +219,10 @@
         known.stage = Some(stage);
         slog::info!(
             self.log, "a roll-out has ended";
-            "service" => &*said.service, "to" => &*said.to, "number" => said.number,
+            "service" => &*instruction.service, "to" => &*instruction.to, "number" => instruction.number,
             "stage" => stage.text(),
         );
-        self.settle(&said.service, known);
+        self.update_routing(&instruction.service, known);
         true
     }
 }
--- a/cypressvane/src/transport/rollout/mod.rs
+++ b/cypressvane/src/transport/rollout/mod.rs
@@ -1,10 +1,10 @@
-//! Roll-outs on this host: which version of a service a request goes to, what is seen of the answers, and, for the
-//! services whose coordinator this host is, the decisions.
+//! Roll-outs on this host: selects the version of a service for each request, observes the answers and, for the
+//! services that this host coordinates, decides.
 //!
-//! The servers of each version of a service are a pool of their own. Each host follows the operators' orders with the
-//! configuration. One host, chosen as homes are, coordinates an order: the others tell it each quarter of a second
-//! what they sent and saw, and it tells them how many requests they may send to the new version. A host that
-//! hears nothing sends none there.
+//! The servers of each version of a service are a separate pool. All hosts read the operators' orders along with the
+//! configuration. One host, elected by rendezvous hashing as homes are, coordinates an order: the others report to it
+//! every quarter of a second what they sent and observed, and it replies with the number of requests that they may send
+//! to the new version. A host that gets no replies sends none there.
 
 mod coordinator;
 mod known;
@@ -34,11 +34,11 @@
 use way::Canary;
 pub(crate) use way::{Observed, Way};
 
-/// Time between two reports of a host on an order; longer where there are many hosts, as heartbeats are, since one host
-/// hears them all.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+/// Time between two reports of a host on an order; stretched where there are many hosts, as heartbeats are, since one
+/// host receives them all.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The pool of a service's servers of one version; versions are unknown where servers tell none.
+/// The pool of a service's servers of one version; `None` is for servers that state no version.
 pub(crate) fn pool_of(service: &Name, version: Option<&Name>) -> Name {
     match version {
         None => service.clone(),
@@ -46,35 +46,35 @@
     }
 }
 
-/// What coordinators of roll-outs are chosen for.
-fn subject(service: &str) -> String {
+/// The subject for which the coordinator of a service's orders is elected.
+fn coordinator_subject(service: &str) -> String {
     format!("rollout/{service}")
 }
 
-/// A service's versions, as the path of requests needs them.
+/// The routing of a service's requests between its versions.
 #[derive(Debug)]
-struct Service {
-    /// The pool that gets its requests.
+struct ServiceRouting {
+    /// The pool of the version that serves the requests.
     pool: ArcSwap<Name>,
-    /// The order that is not decided yet.
+    /// The undecided order, if there is one.
     canary: ArcSwapOption<Canary>,
 }
 
-/// The roll-outs of all services, as this host knows them.
+/// The roll-outs of all services, as known to this host.
 pub(crate) struct Rollouts {
     me: Name,
     incarnation: u64,
     links: Arc<Links>,
     log: Logger,
     bounds: Bounds,
-    services: ArcSwap<HashMap<Name, Arc<Service>>>,
+    routings: ArcSwap<HashMap<Name, Arc<ServiceRouting>>>,
     versions: Mutex<BTreeMap<Name, Versions>>,
-    /// The orders whose coordinator this host is or was, by service.
+    /// The orders that this host coordinates or has coordinated, by service.
     coordinated: Mutex<BTreeMap<Name, Coordinated>>,
-    /// When this host reported last.
-    reported: Mutex<Option<Instant>>,
-    /// Whether other servers get requests than were told to the pools.
-    has_moved: AtomicBool,
+    /// When this host last reported.
+    last_report: Mutex<Option<Instant>>,
+    /// Whether the servers that may get requests have changed since the pools were last updated.
+    has_changed: AtomicBool,
 }
 
 impl Rollouts {
@@ -93,41 +93,41 @@
                 share: config.rollouts.share,
                 slack: config.rollouts.slack,
             },
-            services: ArcSwap::default(),
+            routings: ArcSwap::default(),
             versions: Mutex::default(),
             coordinated: Mutex::default(),
-            reported: Mutex::new(None),
-            has_moved: AtomicBool::new(false),
+            last_report: Mutex::new(None),
+            has_changed: AtomicBool::new(false),
         }
     }
 
-    /// Which pool the next request for a service goes to.
+    /// Selects the pool for the next request for a service.
     pub(crate) fn way(&self, service: &Name) -> Way {
-        match self.services.load().get(service) {
+        match self.routings.load().get(service) {
             None => Way::to(service.clone()),
             Some(known) => Way::choose(&known.pool.load(), known.canary.load_full()),
         }
     }
 
-    /// The pool of a service's servers that get its requests.
+    /// The pool of the version that serves a service's requests.
     pub(crate) fn pool(&self, service: &Name) -> Name {
-        let services = self.services.load();
-        let known = services.get(service);
+        let routings = self.routings.load();
+        let known = routings.get(service);
         known.map_or_else(
             || service.clone(),
             |known| known.pool.load().as_ref().clone(),
         )
     }
 
-    /// Whether other servers get requests since this was asked last.
+    /// Whether the servers that may get requests have changed since the last call.
     pub(crate) fn take_moved(&self) -> bool {
-        self.has_moved.swap(false, Ordering::Relaxed)
+        self.has_changed.swap(false, Ordering::Relaxed)
     }
 
-    /// The pool to which a waiting request of a pool moves, where that gets no requests any more.
+    /// The pool to which a request waiting in `pool` moves, if `pool` gets no requests any more.
     pub(crate) fn successor(&self, service: &Name, pool: &Name) -> Option<Name> {
-        let services = self.services.load();
-        let known = services.get(service)?;
+        let routings = self.routings.load();
+        let known = routings.get(service)?;
         let serving = known.pool.load().as_ref().clone();
         let is_tried = known
             .canary
@@ -137,33 +137,33 @@
         (serving != *pool && !is_tried).then_some(serving)
     }
 
-    /// What the path of requests sees of a service.
-    fn service(&self, service: &Name) -> Arc<Service> {
-        let services = self.services.load();
-        if let Some(known) = services.get(service) {
+    /// The routing of a service, which is added if it is missing.
+    fn routing(&self, service: &Name) -> Arc<ServiceRouting> {
+        let routings = self.routings.load();
+        if let Some(known) = routings.get(service) {
             return Arc::clone(known);
         }
-        let new = Arc::new(Service {
+        let new = Arc::new(ServiceRouting {
             pool: ArcSwap::from_pointee(service.clone()),
             canary: ArcSwapOption::empty(),
         });
-        let mut all = HashMap::clone(&services);
+        let mut all = HashMap::clone(&routings);
         all.insert(service.clone(), Arc::clone(&new));
-        self.services.store(Arc::new(all));
+        self.routings.store(Arc::new(all));
         new
     }
 
-    /// Tells the coordinators of the orders that are not decided what this host sent and saw.
+    /// Reports what this host sent and observed to the coordinators of the undecided orders.
     pub(crate) fn report(&self, now: Instant) {
         if !self.is_report_due(now) {
             return;
         }
-        let services = self.services.load();
-        for (service, known) in services.iter() {
+        let routings = self.routings.load();
+        for (service, known) in routings.iter() {
             let Some(canary) = known.canary.load_full() else {
                 continue;
             };
-            let coordinator = self.links.home_of(&subject(service));
+            let coordinator = self.links.home_of(&coordinator_subject(service));
             let report = canary.report();
             if coordinator == self.me {
                 let incarnation = self.incarnation;
@@ -181,52 +181,52 @@
     }
 
     /// Time between two reports.
-    fn report_every(&self) -> Duration {
-        REPORT_EVERY.mul_f64(self.links.stretch())
+    fn report_interval(&self) -> Duration {
+        REPORT_INTERVAL.mul_f64(self.links.stretch())
     }
 
     fn is_report_due(&self, now: Instant) -> bool {
-        let mut reported = lock(&self.reported);
-        let is_due =
-            reported.is_none_or(|at| now.saturating_duration_since(at) >= self.report_every());
+        let mut last_report = lock(&self.last_report);
+        let is_due = last_report
+            .is_none_or(|at| now.saturating_duration_since(at) >= self.report_interval());
         if is_due {
-            *reported = Some(now);
+            *last_report = Some(now);
         }
         is_due
     }
 
-    /// Does what the coordinator of an order says.
-    pub(crate) fn hear_word(&self, said: &RolloutWord, now: Instant) {
-        if self.follow_word(said, now) {
-            self.has_moved.store(true, Ordering::Relaxed);
+    /// Follows an instruction of an order's coordinator.
+    pub(crate) fn hear_word(&self, instruction: &RolloutWord, now: Instant) {
+        if self.apply_word(instruction, now) {
+            self.has_changed.store(true, Ordering::Relaxed);
         }
     }
 
-    /// The same; tells whether other servers get requests from now on.
-    fn follow_word(&self, said: &RolloutWord, now: Instant) -> bool {
+    /// Applies an instruction; returns whether that changes the servers that may get requests.
+    fn apply_word(&self, instruction: &RolloutWord, now: Instant) -> bool {
         let mut versions = lock(&self.versions);
-        let known = versions.entry(said.service.clone()).or_default();
+        let known = versions.entry(instruction.service.clone()).or_default();
         let is_older = known
             .order
             .as_ref()
-            .is_some_and(|order| order.number > said.number);
+            .is_some_and(|order| order.number > instruction.number);
         if is_older {
             return false;
         }
-        if let Word::Ended(stage) = said.word {
-            return self.note_end(known, said, stage);
+        if let Word::Ended(stage) = instruction.word {
+            return self.note_end(known, instruction, stage);
         }
-        let canary = self.service(&said.service).canary.load_full();
-        // Without the order, which the platform will tell, nothing is sent.
-        let Some(canary) = canary.filter(|canary| canary.number == said.number) else {
+        let canary = self.routing(&instruction.service).canary.load_full();
+        // Nothing is sent to a new version before its order has been read from the platform.
+        let Some(canary) = canary.filter(|canary| canary.number == instruction.number) else {
             return false;
         };
-        canary.hear(said.word, self.report_every(), now)
+        canary.apply_word(instruction.word, self.report_interval(), now)
     }
 
-    /// The orders, as operators are told of them.
+    /// The orders, for operators.
     pub(crate) fn list(&self) -> Vec<dump::Rollout> {
-        // In this order wherever both are held.
+        // Wherever both locks are held, they are taken in this order.
         let versions = lock(&self.versions);
         let coordinated = lock(&self.coordinated);
         let listed = versions.iter().filter_map(|(service, known)| {
@@ -241,7 +241,7 @@
                 to: order.to.clone(),
                 number: order.number,
                 stage: known.stage.unwrap_or(Stage::InProgress),
-                coordinator: self.links.home_of(&subject(service)),
+                coordinator: self.links.home_of(&coordinator_subject(service)),
                 evidence: shown.map(dump::Evidence::from),
             })
         });
--- a/cypressvane/src/transport/rollout/way.rs
+++ b/cypressvane/src/transport/rollout/way.rs
@@ -1,4 +1,4 @@
-//! Which pool a request goes to while an order stands, and what is seen of its answer.
+//! Selects the pool of a request while an order is undecided, and records what is observed of its answer.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -12,15 +12,15 @@
 use crate::state::units::millis_since;
 use crate::transport::runtime::lock;
 
-/// For how many reports what a coordinator said holds: three of them may be lost in a row, or its answers.
-const WORD_HOLDS: u32 = 4;
-/// Times of the old version that a report has of each route: samples, since each host sends them
-/// four times a second to one.
-const OLD_SAMPLES: usize = 8;
-/// Times of the new version that it has at most.
-const NEW_SAMPLES: usize = 64;
+/// Number of report intervals for which an instruction is valid: three reports in a row, or the replies, may be lost.
+const VALID_REPORTS: u32 = 4;
+/// Most times of the old version in a report for each route: they are samples, since each host sends four reports a
+/// second to one coordinator.
+const MAX_OLD_SAMPLES: usize = 8;
+/// Most times of the new version in a report for each route, and most broken answers of either version.
+const MAX_NEW_SAMPLES: usize = 64;
 
-/// An order that is not decided, as the path of requests sees it.
+/// An undecided order, as the request path sees it.
 #[derive(Debug)]
 pub(super) struct Canary {
     pub(super) number: u64,
@@ -28,20 +28,20 @@
     /// The pool of the new version.
     pub(super) pool: Name,
     opened: Instant,
-    /// Requests for the service since the order is known.
+    /// Requests for the service since the order became known.
     requests: AtomicU64,
-    /// Requests that may go to the new version.
+    /// Requests that may still be sent to the new version.
     permits: AtomicU64,
-    /// Whether all requests are to go there.
+    /// Whether all requests go to the new version.
     all: AtomicBool,
-    /// Until when what the coordinator said last holds, in milliseconds since the order is known.
-    holds_until_ms: AtomicU64,
-    seen: Mutex<Seen>,
+    /// End of the last instruction's validity, in milliseconds since the order became known.
+    valid_until_ms: AtomicU64,
+    observations: Mutex<Observations>,
 }
 
-/// What was seen since the last report, by route.
+/// What was observed since the last report, by route.
 #[derive(Debug, Default)]
-struct Seen {
+struct Observations {
     old: BTreeMap<Name, Tally>,
     new: BTreeMap<Name, Tally>,
 }
@@ -56,38 +56,38 @@
             requests: AtomicU64::new(0),
             permits: AtomicU64::new(0),
             all: AtomicBool::new(false),
-            holds_until_ms: AtomicU64::new(0),
-            seen: Mutex::default(),
+            valid_until_ms: AtomicU64::new(0),
+            observations: Mutex::default(),
         }
     }
 
-    /// Milliseconds from when the order was known to a moment.
+    /// Milliseconds from when the order became known to a moment.
     fn age_ms(&self, at: Instant) -> u64 {
         millis_since(self.opened, at)
     }
 
-    /// Whether all requests are to go to the new version.
+    /// Whether all requests go to the new version.
     pub(super) fn takes_all(&self) -> bool {
         self.all.load(Ordering::Relaxed)
     }
 
-    /// Does what the coordinator says; tells whether other servers get requests from now on.
-    pub(super) fn hear(&self, word: Word, report_every: Duration, now: Instant) -> bool {
+    /// Applies the coordinator's instruction; returns whether that changes the servers that may get requests.
+    pub(super) fn apply_word(&self, word: Word, report_interval: Duration, now: Instant) -> bool {
         let permits = match word {
             Word::Canary(permits) => permits,
             Word::All | Word::Nothing | Word::Ended(_) => 0,
         };
         self.permits.store(permits, Ordering::Relaxed);
-        let until = self.age_ms(now + report_every * WORD_HOLDS);
-        self.holds_until_ms.store(until, Ordering::Relaxed);
+        let until = self.age_ms(now + report_interval * VALID_REPORTS);
+        self.valid_until_ms.store(until, Ordering::Relaxed);
         let all = word == Word::All;
         self.all.swap(all, Ordering::Relaxed) != all
     }
 
-    /// Whether the next request goes to the new version.
+    /// Counts a request, and returns whether it goes to the new version.
     fn takes_next(&self, now: Instant) -> bool {
         self.requests.fetch_add(1, Ordering::Relaxed);
-        if self.age_ms(now) >= self.holds_until_ms.load(Ordering::Relaxed) {
+        if self.age_ms(now) >= self.valid_until_ms.load(Ordering::Relaxed) {
             return false;
         }
         let take = |permits: u64| permits.checked_sub(1);
@@ -98,43 +98,43 @@
                 .is_ok()
     }
 
-    /// What this host tells the coordinator.
+    /// Takes the report to the coordinator, with the unused permits and what was observed.
     pub(super) fn report(&self) -> Report {
-        let seen = std::mem::take(&mut *lock(&self.seen));
+        let observations = std::mem::take(&mut *lock(&self.observations));
         Report {
             requests: self.requests.load(Ordering::Relaxed),
             returned: self.permits.swap(0, Ordering::Relaxed),
-            old: seen.old,
-            new: seen.new,
+            old: observations.old,
+            new: observations.new,
         }
     }
 }
 
-/// Where a request goes.
+/// The pool selected for a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Way {
     pub(crate) pool: Name,
-    /// The order on its service that is not decided.
+    /// The undecided order on the service, if there is one.
     canary: Option<Arc<Canary>>,
-    /// Whether it goes to the new version.
+    /// Whether the request goes to the new version.
     is_new: bool,
 }
 
-/// What is seen of a sending.
+/// What is observed of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Observed<'a> {
-    /// The first token came so long after the sending, where this long was to be expected.
+    /// The first token came `took` after the attempt was sent, and `expected` is the expected time.
     First { took: Duration, expected: Duration },
-    /// The answer was whole; between the events of a stream were such pauses on the mean.
+    /// The answer was complete; `pause` is the mean pause between the events of a stream.
     Whole { pause: Option<Duration> },
     /// The server answered with a failure.
     Failed,
-    /// The server broke the answer off, or sent nothing in time.
+    /// The server broke off the answer, or sent nothing in time.
     Broken { server: &'a Name },
 }
 
 impl Way {
-    /// To a pool, whatever is ordered.
+    /// Selects a pool regardless of any order.
     pub(crate) fn to(pool: Name) -> Self {
         Self {
             pool,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// To the pool of the old version, or, as far as the coordinator allows, to that of the new one.
+    /// Selects the pool of the new version if the coordinator's instruction allows it, otherwise that of the old one.
     pub(super) fn choose(old: &Name, canary: Option<Arc<Canary>>) -> Self {
         let is_new = canary
             .as_ref()
@@ -156,37 +156,37 @@
         }
     }
 
-    /// Whether it is a try of a new version.
+    /// Whether the request goes to the new version.
     pub(crate) fn is_new(&self) -> bool {
         self.is_new
     }
 
-    /// Notes what is seen of a sending on a route.
+    /// Records an observation of an attempt on a route.
     pub(crate) fn observe(&self, route: &Name, observed: Observed<'_>) {
         let Some(canary) = &self.canary else {
             return;
         };
-        let mut seen = lock(&canary.seen);
+        let mut observations = lock(&canary.observations);
         let (tallies, samples) = if self.is_new {
-            (&mut seen.new, NEW_SAMPLES)
+            (&mut observations.new, MAX_NEW_SAMPLES)
         } else {
-            (&mut seen.old, OLD_SAMPLES)
+            (&mut observations.old, MAX_OLD_SAMPLES)
         };
         let tally = tallies.entry(route.clone()).or_default();
         match observed {
             Observed::First { took, expected } => {
                 let times = took.as_secs_f32() / expected.as_secs_f32().max(f32::MIN_POSITIVE);
-                sample(&mut tally.firsts, times, samples);
+                add_sample(&mut tally.firsts, times, samples);
             }
             Observed::Whole { pause } => {
                 tally.answers += 1;
                 if let Some(pause) = pause {
-                    sample(&mut tally.pauses, pause.as_secs_f32() * 1_000.0, samples);
+                    add_sample(&mut tally.pauses, pause.as_secs_f32() * 1_000.0, samples);
                 }
             }
             Observed::Failed => tally.failures += 1,
             Observed::Broken { server } => {
-                if tally.broken.len() < NEW_SAMPLES {
+                if tally.broken.len() < MAX_NEW_SAMPLES {
                     tally.broken.push(server.clone());
                 }
             }
@@ -194,8 +194,8 @@
     }
 }
 
-fn sample(times: &mut Vec<f32>, time: f32, most: usize) {
-    if times.len() < most {
+fn add_sample(times: &mut Vec<f32>, time: f32, limit: usize) {
+    if times.len() < limit {
         times.push(time);
     }
 }
