--- a/cypressvane/src/transport/operators/mod.rs
+++ b/cypressvane/src/transport/operators/mod.rs
@@ -118,8 +118,8 @@
 
     /// The name of the operator whose key the request carries.
     ///
-    /// A configuration from another source than the table service names no operators, so only the bootstrap key of the
-    /// settings is valid then.
+    /// The bootstrap key of the settings is valid only while no configuration is in force, and with a configuration from
+    /// another source than the table service, which names no operators.
     fn operator(&self, request: &HttpRequest) -> Option<Name> {
         let key = bearer(request)?;
         let own = self.node.active().filter(|_| self.node.source.is_none());
--- a/cypressvane/src/transport/rollout/coordinator.rs
+++ b/cypressvane/src/transport/rollout/coordinator.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(super) struct Coordinated {
     rollout: Rollout,
-    /// The last instruction to all hosts, in which permits are not counted.
+    /// The last instruction that was sent to all hosts; permits, which differ by host, are not part of it.
     last_sent: Option<Word>,
 }
 
--- a/cypressvane/src/transport/rollout/mod.rs
+++ b/cypressvane/src/transport/rollout/mod.rs
@@ -105,17 +105,17 @@
     pub(crate) fn way(&self, service: &Name) -> Way {
         match self.routings.load().get(service) {
             None => Way::to(service.clone()),
-            Some(known) => Way::choose(&known.pool.load(), known.canary.load_full()),
+            Some(routing) => Way::choose(&routing.pool.load(), routing.canary.load_full()),
         }
     }
 
     /// The pool of the version that serves a service's requests.
     pub(crate) fn pool(&self, service: &Name) -> Name {
         let routings = self.routings.load();
-        let known = routings.get(service);
-        known.map_or_else(
+        let routing = routings.get(service);
+        routing.map_or_else(
             || service.clone(),
-            |known| known.pool.load().as_ref().clone(),
+            |routing| routing.pool.load().as_ref().clone(),
         )
     }
 
@@ -127,9 +127,9 @@
     /// The pool to which a request waiting in `pool` moves, if `pool` gets no requests any more.
     pub(crate) fn successor(&self, service: &Name, pool: &Name) -> Option<Name> {
         let routings = self.routings.load();
-        let known = routings.get(service)?;
-        let serving = known.pool.load().as_ref().clone();
-        let is_tried = known
+        let routing = routings.get(service)?;
+        let serving = routing.pool.load().as_ref().clone();
+        let is_tried = routing
             .canary
             .load()
             .as_ref()
@@ -140,8 +140,8 @@
     /// The routing of a service, which is added if it is missing.
     fn routing(&self, service: &Name) -> Arc<ServiceRouting> {
         let routings = self.routings.load();
-        if let Some(known) = routings.get(service) {
-            return Arc::clone(known);
+        if let Some(routing) = routings.get(service) {
+            return Arc::clone(routing);
         }
         let new = Arc::new(ServiceRouting {
             pool: ArcSwap::from_pointee(service.clone()),
@@ -159,8 +159,8 @@
             return;
         }
         let routings = self.routings.load();
-        for (service, known) in routings.iter() {
-            let Some(canary) = known.canary.load_full() else {
+        for (service, routing) in routings.iter() {
+            let Some(canary) = routing.canary.load_full() else {
                 continue;
             };
             let coordinator = self.links.home_of(&coordinator_subject(service));
@@ -195,7 +195,7 @@
         is_due
     }
 
-    /// Follows an instruction of an order's coordinator.
+    /// Handles an instruction from an order's coordinator.
     pub(crate) fn hear_word(&self, instruction: &RolloutWord, now: Instant) {
         if self.apply_word(instruction, now) {
             self.has_changed.store(true, Ordering::Relaxed);
--- a/cypressvane/src/transport/rollout/way.rs
+++ b/cypressvane/src/transport/rollout/way.rs
@@ -98,7 +98,7 @@
                 .is_ok()
     }
 
-    /// Takes the report to the coordinator, with the unused permits and what was observed.
+    /// The report to the coordinator; it returns the unused permits and clears the observations.
     pub(super) fn report(&self) -> Report {
         let observations = std::mem::take(&mut *lock(&self.observations));
         Report {
