--- a/cypressvane/tests/pool/common.rs
+++ b/cypressvane/tests/pool/common.rs
@@ -1,4 +1,4 @@
-//! What the tests of the home's queue have in common: offers, servers, and a reading of its actions.
+//! Helpers shared by the pool tests: offers, servers, and evaluation of the pool's actions.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use cypressvane::pool::{Action, Offer, Pool, Spec, Ticket};
 use cypressvane::refusal::Reason;
 
-/// The ticket of a number.
+/// Returns the ticket of `host-0` with a sequence number.
 pub fn ticket(sequence: u64) -> Ticket {
     Ticket {
         holder: "host-0".into(),
@@ -16,8 +16,8 @@
     }
 }
 
-/// An offer that waits for as long as it takes: a minute.
-pub fn patient(sequence: u64, rank: usize, prompt_tokens: u32, now: Instant) -> Offer {
+/// Returns an offer that waits until its deadline, which is in 60 s.
+pub fn patient_offer(sequence: u64, rank: usize, prompt_tokens: u32, now: Instant) -> Offer {
     let deadline = now + Duration::from_secs(60);
     Offer {
         ticket: ticket(sequence),
@@ -40,21 +40,21 @@
     }
 }
 
-/// An offer that is worth little when it is late: within 0.8 s, of a caller that leaves after 15 s.
-pub fn hurried(sequence: u64, word: i64, now: Instant) -> Offer {
+/// Returns an offer that is refused early: its objective is 0.8 s, and its caller leaves after 15 s.
+pub fn impatient_offer(sequence: u64, priority: i64, now: Instant) -> Offer {
     let deadline = now + Duration::from_secs(15);
     Offer {
-        priority: word,
+        priority,
         deadline,
         first_token: Duration::from_millis(800),
         whole_by: deadline,
         early: true,
         mark: Some(sequence),
-        ..patient(sequence, 0, 100, now)
+        ..patient_offer(sequence, 0, 100, now)
     }
 }
 
-/// A server of a number.
+/// Returns the host list entry of `server-{index}`.
 pub fn spec(index: u16, slots: u32) -> Spec {
     Spec {
         name: format!("server-{index}").into(),
@@ -66,16 +66,16 @@
     }
 }
 
-/// A pool of servers with places enough.
-pub fn roomy(servers: u16, now: Instant) -> Pool {
+/// Returns a pool of servers with 50 slots each, more than the tests fill.
+pub fn pool_with_free_slots(servers: u16, now: Instant) -> Pool {
     let mut pool = Pool::new("register-model".into(), 10_000);
     let specs: Vec<_> = (0..servers).map(|index| spec(index, 50)).collect();
     pool.set_servers(&specs, now);
     pool
 }
 
-/// Numbers of the granted, and the refused with why.
-pub fn split(actions: Vec<Action>) -> (Vec<u64>, Vec<(u64, Reason)>) {
+/// Returns the sequence numbers of the grants, and those of the refusals with their reasons.
+pub fn grants_and_refusals(actions: Vec<Action>) -> (Vec<u64>, Vec<(u64, Reason)>) {
     let (mut granted, mut refused) = (Vec::new(), Vec::new());
     for action in actions {
         match action {
@@ -86,13 +86,13 @@
     (granted, refused)
 }
 
-/// Numbers of the granted.
+/// Returns the sequence numbers of the grants.
 pub fn granted(actions: Vec<Action>) -> Vec<u64> {
-    split(actions).0
+    grants_and_refusals(actions).0
 }
 
-/// The server that the first grant names.
-pub fn server_of(actions: &[Action]) -> Option<String> {
+/// Returns the server of the first grant.
+pub fn granted_server(actions: &[Action]) -> Option<String> {
     actions.iter().find_map(|action| match action {
         Action::Grant { server, .. } => Some(server.to_string()),
         Action::Refuse { .. } => None,
--- a/cypressvane/tests/pool/early.rs
+++ b/cypressvane/tests/pool/early.rs
@@ -1,11 +1,11 @@
-//! Requests that are refused early: when, what they are told, and who goes first after that.
+//! Early refusal: which requests are refused, their retry times, and the order of the queue afterwards.
 
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
 use cypressvane::pool::{Belief, End, Pool};
 
-use crate::common::{granted, hurried, spec, split, ticket};
+use crate::common::{granted, grants_and_refusals, impatient_offer, spec, ticket};
 
 const OBJECTIVE: Duration = Duration::from_millis(800);
 const PATIENCE: Duration = Duration::from_secs(15);
@@ -20,12 +20,12 @@
     pool
 }
 
-/// Keeps one slot busy for `runs` requests of 100 ms each, which shows the pool's pace.
-fn pace(pool: &mut Pool, runs: u64, start: Instant) -> Instant {
+/// Runs `runs` requests of 100 ms each one after another, from which the pool learns its rate of grants.
+fn warm_up(pool: &mut Pool, runs: u64, start: Instant) -> Instant {
     let mut now = start;
     for sequence in 1_000..1_000 + runs {
         assert_eq!(
-            granted(pool.offer(hurried(sequence, 0, now), now)),
+            granted(pool.offer(impatient_offer(sequence, 0, now), now)),
             [sequence]
         );
         now += Duration::from_millis(100);
@@ -35,25 +35,27 @@
     now
 }
 
-/// Offers numbers 0 to 29 at once; gives those that are refused, with the time they are told.
-fn rush(pool: &mut Pool, now: Instant) -> Vec<(u64, Duration)> {
+/// Offers requests 0 to 29 at once; returns the refused ones with their retry times.
+fn burst(pool: &mut Pool, now: Instant) -> Vec<(u64, Duration)> {
     let mut refused = Vec::new();
     for sequence in 0..30 {
-        for (sequence, reason) in split(pool.offer(hurried(sequence, 0, now), now)).1 {
-            refused.push((sequence, reason.retry_after.expect("a time to come back")));
+        for (sequence, reason) in
+            grants_and_refusals(pool.offer(impatient_offer(sequence, 0, now), now)).1
+        {
+            refused.push((sequence, reason.retry_after.expect("a retry time")));
         }
     }
     refused
 }
 
 #[test]
-fn one_that_cannot_have_its_turn_on_time_is_refused_on_arrival() {
+fn a_request_that_cannot_be_served_on_time_is_refused_on_arrival() {
     let start = Instant::now();
     let mut pool = pool(1, start);
-    let now = pace(&mut pool, 20, start);
-    // About ten a second: of 30 that come at once, some seven have their turn within 0.8 s, one more
-    // runs and one waits for an idle place.
-    let refused = rush(&mut pool, now);
+    let now = warm_up(&mut pool, 20, start);
+    // At about 10 grants/s, about seven of 30 simultaneous requests get their turn within 0.8 s, one more
+    // runs and one waits for an idle slot.
+    let refused = burst(&mut pool, now);
     assert!(
         (18..=26).contains(&refused.len()),
         "{} refused",
@@ -68,52 +70,56 @@
     let different: std::collections::HashSet<u128> = spread.collect();
     assert!(
         different.len() >= 4,
-        "they all come back together: {refused:?}"
+        "all retry at the same time: {refused:?}"
     );
 }
 
 #[test]
-fn one_whose_forecast_turns_is_refused_before_its_time_is_over() {
+fn a_waiting_request_is_refused_as_soon_as_its_forecast_misses_the_objective() {
     let start = Instant::now();
     let mut pool = pool(2, start);
-    let now = pace(&mut pool, 40, start);
-    let mut refused = rush(&mut pool, now).len();
+    let now = warm_up(&mut pool, 40, start);
+    let mut refused = burst(&mut pool, now).len();
     let waiting = pool.waiting();
     assert!(waiting > 4, "{waiting}");
-    // Nothing more is granted: the pace falls, and those at the end are told so one by one.
+    // Without further grants the estimated rate falls, so the requests at the tail are refused one by one.
     let half = now + OBJECTIVE / 2;
     let mut at = now;
     while at < half {
         at += Duration::from_millis(20);
-        refused += split(pool.tick(at)).1.len();
+        refused += grants_and_refusals(pool.tick(at)).1.len();
     }
     assert!(pool.waiting() < waiting, "{} still wait", pool.waiting());
     assert!(refused > 30 - waiting);
 }
 
 #[test]
-fn the_order_is_on_time_then_those_that_come_back_then_the_word() {
+fn on_time_requests_go_first_by_priority_and_late_returning_ones_last() {
     let start = Instant::now();
     let mut pool = pool(1, start);
-    assert_eq!(granted(pool.offer(hurried(1, 0, start), start)), [1]);
-    // Nothing was granted for long, so nobody is refused by the pace.
-    let late = start + Duration::from_secs(30);
-    pool.offer(hurried(10, -1, late), late);
-    // This one comes from a server that failed.
-    let mut returning = hurried(11, -1, late);
+    assert_eq!(
+        granted(pool.offer(impatient_offer(1, 0, start), start)),
+        [1]
+    );
+    // Nothing was granted for 30 s, so there is no rate by which a request could be refused.
+    let later = start + Duration::from_secs(30);
+    pool.offer(impatient_offer(10, -1, later), later);
+    // This request returns from a server that failed.
+    let mut returning = impatient_offer(11, -1, later);
     returning.returning = true;
-    pool.offer(returning, late);
-    let over = late + OBJECTIVE;
-    // The two are late now. One is kept, since it comes back; no place is likely for another one.
-    let (granted, refused) = split(pool.tick(over));
+    pool.offer(returning, later);
+    let past_objective = later + OBJECTIVE;
+    // Both are late now. The returning one goes first and is kept; no idle slot is forecast for a second one.
+    let (granted, refused) = grants_and_refusals(pool.tick(past_objective));
     let refused: Vec<u64> = refused.iter().map(|(sequence, _)| *sequence).collect();
     assert_eq!((granted, refused), (vec![], vec![10]));
-    pool.offer(hurried(13, -1, over), over);
-    pool.offer(hurried(14, 0, over), over);
+    pool.offer(impatient_offer(13, -1, past_objective), past_objective);
+    pool.offer(impatient_offer(14, 0, past_objective), past_objective);
     let mut order: Vec<u64> = Vec::new();
     let mut running = 1;
     for _ in 0..3 {
-        let granted = split(pool.finish(&ticket(running), End::Whole, over)).0;
+        let granted =
+            grants_and_refusals(pool.finish(&ticket(running), End::Whole, past_objective)).0;
         order.extend(&granted);
         running = granted[0];
     }
@@ -121,26 +127,29 @@
 }
 
 #[test]
-fn one_that_was_refused_is_known_when_it_comes_back() {
+fn a_refused_request_is_recognised_when_it_returns() {
     let start = Instant::now();
     let mut pool = pool(1, start);
-    let now = pace(&mut pool, 20, start);
-    let (first, _) = rush(&mut pool, now)[0];
-    // The rush is over but for one that runs.
+    let now = warm_up(&mut pool, 20, start);
+    let (first, _) = burst(&mut pool, now)[0];
+    // The burst is over; one request still runs.
     let later = now + Duration::from_secs(3);
     for sequence in 0..30 {
         pool.withdraw(&ticket(sequence), later);
     }
-    assert_eq!(granted(pool.offer(hurried(100, 0, later), later)), [100]);
-    let mut back = hurried(102, 0, later);
-    back.mark = Some(first);
-    pool.offer(back, later);
-    pool.offer(hurried(101, 0, later), later);
-    // It is late whatever happens, so the one that is on time goes first; it is not refused again.
+    assert_eq!(
+        granted(pool.offer(impatient_offer(100, 0, later), later)),
+        [100]
+    );
+    let mut returning = impatient_offer(102, 0, later);
+    returning.mark = Some(first);
+    pool.offer(returning, later);
+    pool.offer(impatient_offer(101, 0, later), later);
+    // A returning request always counts as late, so the one on time goes first; it is not refused again.
     let mut order: Vec<u64> = Vec::new();
     let mut running = 100;
     for _ in 0..2 {
-        let granted = split(pool.finish(&ticket(running), End::Whole, later)).0;
+        let granted = grants_and_refusals(pool.finish(&ticket(running), End::Whole, later)).0;
         order.extend(&granted);
         running = granted[0];
     }
@@ -148,24 +157,24 @@
 }
 
 #[test]
-fn one_that_a_full_queue_sheds_is_known_when_it_comes_back() {
+fn a_shed_request_is_recognised_when_it_returns() {
     let now = Instant::now();
     let mut pool = Pool::believing("echo".into(), 1, Belief::default());
     pool.set_servers(&[spec(0, 1)], now);
-    assert_eq!(granted(pool.offer(hurried(1, 0, now), now)), [1]);
-    pool.offer(hurried(2, 0, now), now);
-    let (_, refused) = split(pool.offer(hurried(3, 0, now), now));
+    assert_eq!(granted(pool.offer(impatient_offer(1, 0, now), now)), [1]);
+    pool.offer(impatient_offer(2, 0, now), now);
+    let (_, refused) = grants_and_refusals(pool.offer(impatient_offer(3, 0, now), now));
     let refused: Vec<(u64, &str)> = refused
         .iter()
         .map(|(sequence, reason)| (*sequence, reason.code.text()))
         .collect();
     assert_eq!(refused, [(3, "overloaded")]);
     pool.withdraw(&ticket(2), now);
-    // It comes back and is late whatever happens, so it makes room for one that is on time.
-    let mut back = hurried(4, 0, now);
-    back.mark = Some(3);
-    pool.offer(back, now);
-    let (_, refused) = split(pool.offer(hurried(5, 0, now), now));
+    // A returning request always counts as late, so it is shed for one that is on time.
+    let mut returning = impatient_offer(4, 0, now);
+    returning.mark = Some(3);
+    pool.offer(returning, now);
+    let (_, refused) = grants_and_refusals(pool.offer(impatient_offer(5, 0, now), now));
     let refused: Vec<u64> = refused.iter().map(|(sequence, _)| *sequence).collect();
     assert_eq!(refused, [4]);
 }
@@ -176,7 +185,7 @@
     let mut pool = pool(4, now);
     let mut all = Vec::new();
     for sequence in 0..4 {
-        let mut long = hurried(sequence, 0, now);
+        let mut long = impatient_offer(sequence, 0, now);
         long.prompt_tokens = 50_000;
         all.extend(granted(pool.offer(long, now)));
     }
@@ -184,41 +193,46 @@
 }
 
 #[test]
-fn a_server_that_is_full_or_replaced_is_left_alone() {
+fn a_full_or_replaced_server_gets_no_requests_for_a_time_or_for_good() {
     struct Case {
         end: End,
-        /// After how many milliseconds the next request has its turn there; `None` for never.
-        back: Option<u64>,
+        /// Milliseconds after which the next request is granted there; `None` for never.
+        delay_ms: Option<u64>,
     }
     let cases = [
         Case {
             end: End::Full,
-            back: Some(120),
+            delay_ms: Some(120),
         },
         Case {
             end: End::Replaced,
-            back: None,
+            delay_ms: None,
         },
         Case {
             end: End::Leaving,
-            back: None,
+            delay_ms: None,
         },
         Case {
             end: End::Whole,
-            back: Some(0),
+            delay_ms: Some(0),
         },
     ];
     for case in cases {
         let now = Instant::now();
         let mut pool = pool(2, now);
-        assert_eq!(granted(pool.offer(hurried(1, 0, now), now)), [1]);
+        assert_eq!(granted(pool.offer(impatient_offer(1, 0, now), now)), [1]);
         pool.finish(&ticket(1), case.end, now);
-        let first = split(pool.offer(hurried(2, 0, now), now));
+        let first = grants_and_refusals(pool.offer(impatient_offer(2, 0, now), now));
         let at_once = first.0 == [2];
-        assert_eq!(at_once, case.back == Some(0), "{:?}", case.end);
-        if let Some(back) = case.back.filter(|back| *back > 0) {
-            let later = now + Duration::from_millis(back);
-            assert_eq!(split(pool.tick(later)).0, [2], "{:?}", case.end);
+        assert_eq!(at_once, case.delay_ms == Some(0), "{:?}", case.end);
+        if let Some(delay_ms) = case.delay_ms.filter(|delay_ms| *delay_ms > 0) {
+            let later = now + Duration::from_millis(delay_ms);
+            assert_eq!(
+                grants_and_refusals(pool.tick(later)).0,
+                [2],
+                "{:?}",
+                case.end
+            );
         }
     }
 }
--- a/cypressvane/tests/pool/load.rs
+++ b/cypressvane/tests/pool/load.rs
@@ -1,42 +1,42 @@
-//! Patterns of load against a pool, by a clock that the test moves: who gets a place, where, and who
-//! is told at once that there is none.
+//! Load patterns against a pool, with a simulated clock: which requests are granted, on which server,
+//! and which have to wait or are refused.
 //!
-//! The figures are those of engines that the users run side by side: ten slots each, some reading
-//! 100,000 prompt tokens a second and some 23,000, which need 3 ms and 12 ms for a token.
+//! The figures are those of engines that the users run side by side: ten slots each, some prefilling
+//! 100,000 prompt tokens/s and some 23,000, with 3 ms and 12 ms per answer token.
 
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
 use cypressvane::pool::{Belief, End, Offer, Pool};
 
-use crate::common::{granted, hurried, server_of, spec, split, ticket};
+use crate::common::{granted, granted_server, grants_and_refusals, impatient_offer, spec, ticket};
 
 const MILLISECOND: Duration = Duration::from_millis(1);
-/// Longest pause between events that is on time, as the users' tightest routes have it.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Longest pause between events that counts as on time on the users' tightest routes.
+const PAUSE_MAX: Duration = Duration::from_millis(250);
 
-/// How an engine behaves.
+/// Speed of an engine.
 #[derive(Clone, Copy)]
 struct Engine {
-    /// First token of the shortest prompt, in milliseconds.
+    /// Time to the first token of the shortest prompt, in milliseconds.
     first_ms: u32,
-    /// Prompt tokens read in a millisecond.
-    reads: u32,
-    /// Milliseconds for a token of an answer.
+    /// Prompt tokens prefilled per millisecond.
+    prefill_per_ms: u32,
+    /// Milliseconds per answer token.
     token_ms: u32,
-    /// Longest pause of its streams while a prompt of 8,000 tokens is read.
+    /// Longest pause of its streams while it prefills a prompt of 8,000 tokens, in milliseconds.
     pause_ms: u32,
 }
 
 const FAST: Engine = Engine {
     first_ms: 25,
-    reads: 100,
+    prefill_per_ms: 100,
     token_ms: 3,
     pause_ms: 80,
 };
 const SLOW: Engine = Engine {
     first_ms: 108,
-    reads: 23,
+    prefill_per_ms: 23,
     token_ms: 12,
     pause_ms: 370,
 };
@@ -53,19 +53,19 @@
     pool
 }
 
-/// A stream of so many prompt and answer tokens.
+/// Returns the offer of a stream with so many prompt and answer tokens.
 fn stream(sequence: u64, prompt_tokens: u32, answer_tokens: u32, now: Instant) -> Offer {
     Offer {
         prompt_tokens,
         answer_tokens,
-        pause: PAUSE,
-        ..hurried(sequence, 0, now)
+        pause: PAUSE_MAX,
+        ..impatient_offer(sequence, 0, now)
     }
 }
 
-/// Lets server 0 show itself fast and server 1 slow: on each a stream runs while a prompt of 8,000
-/// tokens is read; gives the time at the end.
-fn learn(pool: &mut Pool, start: Instant) -> Instant {
+/// Teaches the pool that server 0 is fast and server 1 slow: on each a stream runs while a prompt of
+/// 8,000 tokens is prefilled. Returns the time at the end.
+fn teach_speeds(pool: &mut Pool, start: Instant) -> Instant {
     const PROMPT: u32 = 500;
     const ANSWER: u32 = 100;
     const LONG: u32 = 8_000;
@@ -79,12 +79,12 @@
                 ..stream(short, PROMPT, ANSWER, now)
             };
             let actions = pool.offer(offer, now);
-            assert_eq!(server_of(&actions), Some(name.clone()));
+            assert_eq!(granted_server(&actions), Some(name.clone()));
             let long = ticket(short + 1);
             pool.adopt(long.clone(), &name.as_str().into(), LONG, false, now);
-            let first = now + (engine.first_ms + PROMPT / engine.reads) * MILLISECOND;
+            let first = now + (engine.first_ms + PROMPT / engine.prefill_per_ms) * MILLISECOND;
             pool.first_token(&ticket(short), first);
-            let read = first + (LONG / engine.reads) * MILLISECOND;
+            let read = first + (LONG / engine.prefill_per_ms) * MILLISECOND;
             pool.first_token(&long, read);
             pool.finish(&long, End::Whole, read);
             pool.paused(&ticket(short), engine.pause_ms * MILLISECOND);
@@ -97,11 +97,11 @@
 }
 
 #[test]
-fn a_long_prompt_waits_for_an_engine_where_it_makes_no_stream_pause_too_long() {
+fn a_long_prompt_waits_for_an_engine_whose_streams_it_does_not_pause_too_long() {
     let start = Instant::now();
     let mut pool = pool(2, 2, start);
-    let now = learn(&mut pool, start);
-    // Both slots of the fast engine are taken, and one of the slow one's, by streams.
+    let now = teach_speeds(&mut pool, start);
+    // Streams take both slots of the fast engine and one slot of the slow one.
     for sequence in 1..=3 {
         assert_eq!(
             granted(pool.offer(stream(sequence, 500, 100, now), now)),
@@ -109,70 +109,75 @@
         );
     }
     assert!(granted(pool.offer(stream(4, 8_000, 100, now), now)).is_empty());
-    // A short one passes it by: it does no harm there.
+    // A short prompt overtakes it, since it causes no long pause on the slow engine.
     let actions = pool.offer(stream(5, 100, 100, now), now);
-    assert_eq!(server_of(&actions).as_deref(), Some("server-1"));
-    // The long one has the next place on the fast engine.
+    assert_eq!(granted_server(&actions).as_deref(), Some("server-1"));
+    // The long prompt gets the next free slot of the fast engine.
     for sequence in 1..=2 {
         let actions = pool.finish(&ticket(sequence), End::Whole, now + 50 * MILLISECOND);
-        if let Some(server) = server_of(&actions) {
+        if let Some(server) = granted_server(&actions) {
             assert_eq!((server.as_str(), granted(actions)), ("server-0", vec![4]));
             return;
         }
     }
-    panic!("the long prompt got no place");
+    panic!("the long prompt got no slot");
 }
 
 #[test]
-fn an_answer_that_a_slow_engine_could_not_end_goes_to_a_fast_one() {
+fn an_answer_that_a_slow_engine_cannot_complete_in_time_goes_to_a_fast_one() {
     let start = Instant::now();
     let mut pool = pool(2, 2, start);
-    let now = learn(&mut pool, start);
+    let now = teach_speeds(&mut pool, start);
     // 2,000 tokens take the slow engine 24 s and the fast one 6 s; the caller leaves after 15 s.
     for sequence in 1..=2 {
         let actions = pool.offer(stream(sequence, 500, 2_000, now), now);
         assert_eq!(
-            server_of(&actions).as_deref(),
+            granted_server(&actions).as_deref(),
             Some("server-0"),
             "{sequence}"
         );
     }
     assert!(granted(pool.offer(stream(3, 500, 2_000, now), now)).is_empty());
-    // A short answer ends there in time.
+    // The slow engine completes a short answer in time.
     let actions = pool.offer(stream(4, 500, 100, now), now);
-    assert_eq!(server_of(&actions).as_deref(), Some("server-1"));
+    assert_eq!(granted_server(&actions).as_deref(), Some("server-1"));
 }
 
 #[test]
-fn a_silent_engine_loses_its_share_before_anything_has_failed() {
+fn a_silent_engine_gets_no_requests_even_before_a_failure() {
     let start = Instant::now();
     let mut pool = pool(10, 2, start);
     let first = pool.offer(stream(1, 500, 100, start), start);
-    let silent = server_of(&first).expect("a place");
-    // Its first token was forecast within some 40 ms; 300 ms later there is none.
+    let silent = granted_server(&first).expect("a grant");
+    // The first token was forecast within about 40 ms and has not come after 300 ms.
     let now = start + 300 * MILLISECOND;
     for sequence in 2..=9 {
         let actions = pool.offer(stream(sequence, 500, 100, now), now);
-        assert_ne!(server_of(&actions).expect("a place"), silent, "{sequence}");
+        assert_ne!(
+            granted_server(&actions).expect("a grant"),
+            silent,
+            "{sequence}"
+        );
     }
-    // It is given work again as soon as it answers.
+    // The engine gets requests again as soon as it answers.
     pool.first_token(&ticket(1), now);
     pool.finish(&ticket(1), End::Whole, now);
     let later = now + 10 * MILLISECOND;
-    let given = (10..=18)
-        .filter_map(|sequence| server_of(&pool.offer(stream(sequence, 500, 100, later), later)));
+    let given = (10..=18).filter_map(|sequence| {
+        granted_server(&pool.offer(stream(sequence, 500, 100, later), later))
+    });
     assert!(given.into_iter().any(|server| server == silent));
 }
 
 #[test]
-fn one_request_that_is_stuck_does_not_rule_out_a_server_that_answers_others() {
+fn a_stuck_request_does_not_exclude_a_server_that_answers_others() {
     let start = Instant::now();
     let mut pool = pool(6, 1, start);
-    // A plain call within 100 ms; the first one is lost by the server.
+    // Plain calls with an objective of 100 ms; the server never answers the first one.
     let call = |sequence, now| Offer {
         first_token: 100 * MILLISECOND,
         prompt_tokens: 1,
-        ..hurried(sequence, 0, now)
+        ..impatient_offer(sequence, 0, now)
     };
     assert_eq!(granted(pool.offer(call(0, start), start)), [0]);
     let mut now = start;
@@ -186,33 +191,36 @@
 }
 
 #[test]
-fn plain_calls_go_to_the_server_that_answers_sooner() {
+fn plain_calls_go_to_the_server_that_answers_faster() {
     let start = Instant::now();
     let mut pool = pool(6, 2, start);
     let mut now = start;
-    let mut to_the_slow = 0;
+    let mut slow_calls = 0;
     for sequence in 0..60 {
         let call = Offer {
             first_token: 300 * MILLISECOND,
             prompt_tokens: 1,
-            ..hurried(sequence, 0, now)
+            ..impatient_offer(sequence, 0, now)
         };
-        let server = server_of(&pool.offer(call, now)).expect("a place");
+        let server = granted_server(&pool.offer(call, now)).expect("a grant");
         let is_slow = server == "server-0";
-        to_the_slow += u32::from(is_slow && sequence >= 20);
+        slow_calls += u32::from(is_slow && sequence >= 20);
         now += if is_slow { 150 } else { 15 } * MILLISECOND;
         pool.finish(&ticket(sequence), End::Whole, now);
     }
-    assert!(to_the_slow <= 4, "{to_the_slow} of 40 to the slow one");
+    assert!(
+        slow_calls <= 4,
+        "{slow_calls} of 40 calls to the slow server"
+    );
 }
 
 #[test]
-fn a_request_goes_on_at_another_server_than_the_one_that_failed_it() {
+fn a_failed_request_is_retried_on_another_server() {
     let start = Instant::now();
     let mut pool = pool(10, 2, start);
     for sequence in 0..8 {
         let actions = pool.offer(stream(sequence, 500, 100, start), start);
-        let failed = server_of(&actions).expect("a place");
+        let failed = granted_server(&actions).expect("a grant");
         pool.finish(&ticket(sequence), End::Unused, start);
         let again = Offer {
             avoid: Some(failed.as_str().into()),
@@ -220,24 +228,28 @@
             ..stream(100 + sequence, 500, 100, start)
         };
         let actions = pool.offer(again, start);
-        assert_ne!(server_of(&actions).expect("a place"), failed, "{sequence}");
+        assert_ne!(
+            granted_server(&actions).expect("a grant"),
+            failed,
+            "{sequence}"
+        );
     }
 }
 
 #[test]
-fn when_all_come_back_at_once_the_places_go_to_those_still_on_time() {
+fn when_refused_requests_return_together_those_on_time_go_first() {
     let start = Instant::now();
     let mut pool = pool(4, 1, start);
-    // A rush of 60 on four slots: most are refused.
+    // A burst of 60 requests on four slots: most are refused.
     let mut refused = Vec::new();
     let mut running: Vec<u64> = Vec::new();
     for sequence in 0..60 {
         let (now_granted, now_refused) =
-            split(pool.offer(stream(sequence, 500, 100, start), start));
+            grants_and_refusals(pool.offer(stream(sequence, 500, 100, start), start));
         running.extend(now_granted);
         refused.extend(now_refused.into_iter().map(|(sequence, _)| sequence));
     }
-    // It goes on: one ends each 25 ms, and another comes.
+    // The load goes on: every 25 ms one request ends and another arrives.
     let mut now = start;
     for sequence in 100..180 {
         now += 25 * MILLISECOND;
@@ -245,11 +257,11 @@
         running.extend(granted(pool.finish(&ticket(ended), End::Whole, now)));
         running.extend(granted(pool.offer(stream(sequence, 500, 100, now), now)));
     }
-    // The refused come back together, and eight others for the first time.
+    // The refused requests return all at once, followed by eight new ones.
     for (sequence, mark) in (200..).zip(&refused) {
-        let mut back = stream(sequence, 500, 100, now);
-        back.mark = Some(*mark);
-        running.extend(granted(pool.offer(back, now)));
+        let mut returning = stream(sequence, 500, 100, now);
+        returning.mark = Some(*mark);
+        running.extend(granted(pool.offer(returning, now)));
     }
     for sequence in 500..508 {
         running.extend(granted(pool.offer(stream(sequence, 500, 100, now), now)));
--- a/cypressvane/tests/pool/lone.rs
+++ b/cypressvane/tests/pool/lone.rs
@@ -1,25 +1,25 @@
-//! A pool that has one server left.
+//! A pool with a single remaining server.
 //!
-//! Seen: a plain service whose other servers had left was given two requests in 18 s, though its one server was well,
-//! and everybody else was refused. Some of its requests take longer than their route allows, and one was answered 500
-//! twice; three such ends in a row took the server down, and each trial that met one made the rest longer, up
-//! to five seconds. Proved by the log: trial and down in turn, each time a second after a silent request was sent.
+//! Guards against taking that server down for requests that fail by themselves. Some requests of a plain service took
+//! longer than their route allows, and one was answered 500 twice. Three such failures in a row took the healthy
+//! server down, and each failed trial lengthened the backoff, up to 5 s: the server got two requests in 18 s, and all
+//! others were refused. The log showed trial and down in turn, each a second after a request without an answer.
 
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
 use cypressvane::pool::{End, Pool};
 
-use crate::common::{granted, patient, spec, ticket};
+use crate::common::{granted, patient_offer, spec, ticket};
 
 #[test]
-fn the_only_server_of_a_pool_is_given_work_though_single_requests_failed_there() {
+fn the_only_server_of_a_pool_gets_requests_after_some_have_failed() {
     let mut now = Instant::now();
     let mut pool = Pool::new("desk".into(), 16);
     pool.set_servers(&[spec(0, 8)], now);
     for sequence in 1..=3 {
         assert_eq!(
-            granted(pool.offer(patient(sequence, 0, 1, now), now)),
+            granted(pool.offer(patient_offer(sequence, 0, 1, now), now)),
             [sequence]
         );
     }
@@ -27,45 +27,45 @@
         now += Duration::from_millis(50);
         pool.finish(&ticket(sequence), End::Broken, now);
     }
-    // There is no other server that could do better.
-    let next = granted(pool.offer(patient(4, 0, 1, now), now));
+    // No other server could do better.
+    let next = granted(pool.offer(patient_offer(4, 0, 1, now), now));
     assert_eq!(next, [4]);
 }
 
 struct Case {
     name: &'static str,
     ends: &'static [End],
-    /// How many of three requests that come then it is given at once.
-    given: usize,
+    /// How many of three further requests are granted at once.
+    granted_at_once: usize,
 }
 
 #[test]
-fn the_only_server_is_tried_one_by_one_while_it_fails_and_rests_only_if_nothing_listens() {
+fn the_only_server_gets_one_request_at_a_time_while_it_fails_and_none_if_it_is_unreachable() {
     let cases = [
         Case {
             name: "three failures in a row",
             ends: &[End::Broken; 3],
-            given: 1,
+            granted_at_once: 1,
         },
         Case {
             name: "failures on trial",
             ends: &[End::Broken; 9],
-            given: 1,
+            granted_at_once: 1,
         },
         Case {
-            name: "a whole answer on trial",
+            name: "a complete answer on trial",
             ends: &[End::Broken, End::Broken, End::Broken, End::Whole],
-            given: 3,
+            granted_at_once: 3,
         },
         Case {
-            name: "nothing listens",
+            name: "connection refused",
             ends: &[End::Unreachable],
-            given: 0,
+            granted_at_once: 0,
         },
         Case {
-            name: "nothing listens any more",
+            name: "connection refused on trial",
             ends: &[End::Broken, End::Broken, End::Broken, End::Unreachable],
-            given: 0,
+            granted_at_once: 0,
         },
     ];
     for case in cases {
@@ -73,15 +73,15 @@
         let mut pool = Pool::new("desk".into(), 16);
         pool.set_servers(&[spec(0, 8)], now);
         for (sequence, end) in (0..).zip(case.ends) {
-            let given = granted(pool.offer(patient(sequence, 0, 1, now), now));
-            assert_eq!(given, [sequence], "{}", case.name);
+            let grants = granted(pool.offer(patient_offer(sequence, 0, 1, now), now));
+            assert_eq!(grants, [sequence], "{}", case.name);
             pool.finish(&ticket(sequence), *end, now);
         }
-        let offers = (50..53).map(|sequence| patient(sequence, 0, 1, now));
-        let given: Vec<u64> = offers
+        let offers = (50..53).map(|sequence| patient_offer(sequence, 0, 1, now));
+        let grants: Vec<u64> = offers
             .flat_map(|offer| granted(pool.offer(offer, now)))
             .collect();
-        assert_eq!(given.len(), case.given, "{}", case.name);
+        assert_eq!(grants.len(), case.granted_at_once, "{}", case.name);
     }
 }
 
@@ -91,8 +91,8 @@
     let mut pool = Pool::new("desk".into(), 64);
     pool.set_servers(&[spec(0, 1), spec(1, 1), spec(2, 1)], now);
     for sequence in 0..30 {
-        let given = granted(pool.offer(patient(sequence, 0, 1, now), now));
-        assert_eq!(given, [sequence]);
+        let grants = granted(pool.offer(patient_offer(sequence, 0, 1, now), now));
+        assert_eq!(grants, [sequence]);
         pool.finish(&ticket(sequence), End::Broken, now);
     }
 }
--- a/cypressvane/tests/pool/main.rs
+++ b/cypressvane/tests/pool/main.rs
@@ -1,4 +1,4 @@
-//! The home's queue, by a clock that the tests move.
+//! Tests of a pool at its home: queue, placement, limits and refusals, with a simulated clock.
 
 mod common;
 #[path = "../drawn/mod.rs"]
--- a/cypressvane/tests/pool/queue.rs
+++ b/cypressvane/tests/pool/queue.rs
@@ -1,4 +1,4 @@
-//! The home's queue, by a clock that the test moves.
+//! The queue of a pool: order, shedding, deadlines and failing servers.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use cypressvane::refusal::Code;
 use quickcheck::{Arbitrary, Gen};
 
-use crate::common::{granted, patient as offer, server_of, spec, ticket};
+use crate::common::{granted, granted_server, patient_offer as offer, spec, ticket};
 use crate::drawn;
 
 fn pool(servers: u16, slots: u32, waiting_max: usize, now: Instant) -> Pool {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn tier_goes_first_then_the_policys_word_then_the_deadline() {
+fn offers_are_ordered_by_tier_then_policy_priority_then_deadline() {
     let waiting = [
         Queued {
             rank: 2,
@@ -86,7 +86,7 @@
 fn a_full_queue_sheds_the_last_of_the_lowest_tier() {
     let now = Instant::now();
     let cases = [
-        // Ranks that wait, the rank that comes, and which is shed.
+        // Ranks of the waiting offers, rank of the new offer, sequence number of the shed one.
         (vec![0, 1, 2], 0, 2),
         (vec![0, 1, 1], 0, 2),
         (vec![0, 0, 0], 1, 3),
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn an_offer_said_again_is_harmless() {
+fn a_repeated_offer_is_idempotent() {
     let now = Instant::now();
     let mut pool = pool(1, 1, 10, now);
     let first = pool.offer(offer(1, 0, 1, now), now);
     assert_eq!(
         pool.offer(offer(1, 0, 1, now), now),
         first,
-        "the grant is said again"
+        "the grant is repeated"
     );
     assert!(pool.offer(offer(2, 0, 1, now), now).is_empty());
     assert!(pool.offer(offer(2, 0, 1, now), now).is_empty());
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_cannot_be_met_is_refused_before_it_runs() {
+fn an_offer_that_cannot_be_met_is_refused_before_it_runs() {
     let now = Instant::now();
     let mut empty = Pool::new("echo".into(), 10);
     let actions = empty.offer(offer(1, 0, 1, now), now);
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn a_server_gets_no_more_prefill_than_the_tail_allows() {
+fn the_prefill_backlog_of_a_server_is_bounded_by_the_first_token_objective() {
     let now = Instant::now();
-    // At first 4,000 tokens a second are believed: half of 460 ms is 920 tokens.
+    // The prefill rate is assumed to be 4,000 tokens/s at first: half of 460 ms is 920 tokens.
     let mut pool = pool(1, 32, 100, now);
     for sequence in 0..9 {
         assert_eq!(
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_slow_server_loses_its_share() {
+fn a_slow_server_gets_fewer_requests() {
     let begin = Instant::now();
     let mut pool = pool(2, 32, 100, begin);
     let mut counts = [0; 2];
@@ -191,9 +191,10 @@
 }
 
 #[test]
-fn one_whose_time_went_by_in_the_queue_is_told_so_whichever_instant_it_is() {
+fn an_offer_whose_time_runs_out_in_the_queue_is_refused_as_deadline_passed() {
     let deadline = Duration::from_millis(400);
-    // A slot comes free so long before or after the deadline; a first token takes 5 ms at least.
+    // Whether the slot becomes free before the deadline, and by how many milliseconds before or after it.
+    // A first token takes at least 5 ms.
     let cases = [(true, 3), (true, 1), (true, 0), (false, 1), (false, 20)];
     for (before, millis) in cases {
         let start = Instant::now();
@@ -206,11 +207,11 @@
             };
             assert!(pool.offer(waiting, start).is_empty());
         }
-        let off = Duration::from_millis(millis);
+        let offset = Duration::from_millis(millis);
         let freed = if before {
-            start + deadline - off
+            start + deadline - offset
         } else {
-            start + deadline + off
+            start + deadline + offset
         };
         let mut actions = pool.finish(&ticket(1), End::Whole, freed);
         actions.extend(pool.tick(start + deadline + Duration::from_millis(1)));
@@ -219,57 +220,57 @@
     }
 }
 
-/// A pool of a server with room and one that works and has none, so that the first is not the only one.
+/// Returns a pool of a server with free slots and a live one that is full, so that the first is not the only one.
 fn pool_beside_a_full_server(now: Instant) -> Pool {
     let mut pool = pool(0, 0, 100, now);
     pool.set_servers(&[spec(0, 8), spec(1, 1)], now);
-    let mut elsewhere = Vec::new();
+    let mut on_first_server = Vec::new();
     for sequence in 100.. {
         let actions = pool.offer(offer(sequence, 0, 1, now), now);
-        if server_of(&actions).as_deref() == Some("server-1") {
+        if granted_server(&actions).as_deref() == Some("server-1") {
             break;
         }
-        elsewhere.push(sequence);
+        on_first_server.push(sequence);
     }
-    for sequence in elsewhere {
+    for sequence in on_first_server {
         pool.finish(&ticket(sequence), End::Unused, now);
     }
     pool
 }
 
-struct Failing {
+struct FailureCase {
     name: &'static str,
     ends: &'static [End],
-    usable: bool,
+    is_usable: bool,
 }
 
 #[test]
-fn a_failing_server_is_left_alone_and_tried_again_with_one_request() {
+fn a_server_gets_no_requests_after_repeated_failures_or_when_unreachable_or_leaving() {
     let cases = [
-        Failing {
+        FailureCase {
             name: "one broken answer",
             ends: &[End::Broken],
-            usable: true,
+            is_usable: true,
         },
-        Failing {
+        FailureCase {
             name: "three in a row",
             ends: &[End::Broken, End::Broken, End::Broken],
-            usable: false,
+            is_usable: false,
         },
-        Failing {
-            name: "a whole answer between",
+        FailureCase {
+            name: "a complete answer in between",
             ends: &[End::Broken, End::Broken, End::Whole, End::Broken],
-            usable: true,
+            is_usable: true,
         },
-        Failing {
-            name: "nothing listens",
+        FailureCase {
+            name: "connection refused",
             ends: &[End::Unreachable],
-            usable: false,
+            is_usable: false,
         },
-        Failing {
-            name: "it is leaving",
+        FailureCase {
+            name: "the server is leaving",
             ends: &[End::Leaving],
-            usable: false,
+            is_usable: false,
         },
     ];
     for case in cases {
@@ -285,7 +286,7 @@
         let actions = pool.offer(offer(50, 0, 1, now), now);
         assert_eq!(
             granted(actions).len(),
-            usize::from(case.usable),
+            usize::from(case.is_usable),
             "{}",
             case.name
         );
@@ -293,21 +294,21 @@
 }
 
 #[test]
-fn a_pool_whose_servers_all_failed_comes_back() {
+fn a_pool_recovers_after_all_its_servers_failed() {
     let now = Instant::now();
     let mut pool = pool(1, 8, 100, now);
     pool.offer(offer(1, 0, 1, now), now);
     pool.finish(&ticket(1), End::Unreachable, now);
     assert!(
         pool.offer(offer(2, 0, 1, now), now).is_empty(),
-        "it waits for the server's return"
+        "the offer waits until the server is tried again"
     );
-    let hurried = Offer {
+    let short_deadline = Offer {
         deadline: now + Duration::from_millis(100),
         ..offer(3, 0, 1, now)
     };
     assert_eq!(
-        refused(&pool.offer(hurried, now)),
+        refused(&pool.offer(short_deadline, now)),
         [(3, Code::DeadlineUnreachable)]
     );
     let later = now + Duration::from_secs(1);
@@ -315,7 +316,7 @@
     assert_eq!(
         (pool.running(), pool.waiting()),
         (1, 1),
-        "one request on trial"
+        "one request while the server is on trial"
     );
     let actions = pool.finish(&ticket(2), End::Whole, later);
     assert_eq!(granted(actions), [4]);
@@ -335,11 +336,11 @@
     );
     assert!(granted(pool.offer(offer(2, 0, 1, now), now)).is_empty());
     pool.set_servers(&[], now);
-    assert_eq!(pool.running(), 1, "what runs there is not forgotten");
+    assert_eq!(pool.running(), 1, "running requests are kept");
 }
 
 #[test]
-fn a_lost_holder_and_lost_grants_make_room() {
+fn lost_grants_and_requests_of_a_lost_holder_are_released() {
     let now = Instant::now();
     let later = now + Duration::from_secs(3);
     let mut pool = pool(1, 2, 100, now);
@@ -350,14 +351,18 @@
     assert!(
         pool.reconcile(&"host-0".into(), 1, &[1], age, now)
             .is_empty(),
-        "too young to be lost"
+        "the grant is too recent to count as lost"
     );
     assert_eq!(
         granted(pool.reconcile(&"host-0".into(), 1, &[1], age, later)),
         [3]
     );
     pool.forget(&"host-0".into(), 1, later);
-    assert_eq!(pool.running(), 2, "the same incarnation is kept");
+    assert_eq!(
+        pool.running(),
+        2,
+        "requests of the same incarnation are kept"
+    );
     pool.forget(&"host-0".into(), 2, later);
     assert_eq!((pool.running(), pool.waiting()), (0, 0));
 }
@@ -387,7 +392,7 @@
     }
 }
 
-/// Follows a pool through events and checks what must hold after each.
+/// Reference model of a pool that checks its invariants after each event.
 struct Model {
     pool: Pool,
     now: Instant,
@@ -452,24 +457,24 @@
     }
 
     fn check(&mut self, actions: &[Action]) -> bool {
-        let mut holds = true;
+        let mut is_valid = true;
         for action in actions {
             match action {
                 Action::Grant { ticket, .. } => {
-                    // Granted once, and only while it waits.
-                    holds &= self.waiting.remove(&ticket.sequence).is_some();
-                    holds &= self.running.insert(ticket.sequence);
+                    // A request is granted at most once, and only while it waits.
+                    is_valid &= self.waiting.remove(&ticket.sequence).is_some();
+                    is_valid &= self.running.insert(ticket.sequence);
                 }
                 Action::Refuse { ticket, reason } => {
                     let rank = self.waiting.remove(&ticket.sequence);
-                    holds &= rank.is_some();
-                    // A tier is shed only when no lower one waits.
+                    is_valid &= rank.is_some();
+                    // A request is shed only if none of a lower tier waits.
                     let lower = self.waiting.values().any(|other| Some(*other) > rank);
-                    holds &= reason.code != Code::Overloaded || !lower;
+                    is_valid &= reason.code != Code::Overloaded || !lower;
                 }
             }
         }
-        holds
+        is_valid
             && self.pool.waiting() == self.waiting.len()
             && self.pool.running() == self.running.len()
     }
