--- a/cypressvane/tests/budget.rs
+++ b/cypressvane/tests/budget.rs
@@ -1,10 +1,9 @@
-//! The budget of repeats, with time as an argument.
+//! The retry budget of a service, with time as an argument.
 //!
-//! Seen: on a small site a service got more repeats than its budget in some window, on a day that is not
-//! known. The cause was found in the record: a host counts in tenths of the window and forgot a tenth as
-//! soon as its beginning was a window old, so that what was spent at its end could be spent again after
-//! nine tenths of a window. The test that stood here from the first day judged nine tenths only. Proved by
-//! the same test over the whole window, which fails on each run of that code.
+//! Guards against more retries than the budget allows in some window, as seen on a small site. A host counted in tenths
+//! of the window and dropped a tenth as soon as its start was a window old, so retries at its end could be spent again
+//! after nine tenths of a window. An earlier test checked only nine tenths of the window; over the whole window that
+//! code fails on each run.
 
 mod drawn;
 
@@ -19,18 +18,18 @@
     window: Duration::from_secs(10),
 };
 
-/// Unit of the pauses between moves.
+/// Unit of the pauses between events.
 const STEP: Duration = Duration::from_millis(20);
-/// Hosts that are there from the beginning.
+/// Number of hosts at the start.
 const HOSTS: usize = 3;
 
-/// What happens at a host.
+/// An event at a host.
 #[derive(Clone, Copy, Debug)]
-enum Move {
+enum Event {
     Request,
-    /// A request failed, and is sent once more if the budget has it.
-    Repeat,
-    /// The host is killed and starts anew.
+    /// A request failed and is retried if the budget allows it.
+    Retry,
+    /// The host is killed and restarted.
     Restart,
     /// The host leaves for good.
     Leave,
@@ -38,104 +37,107 @@
     Join,
 }
 
-/// A fleet that shares the budget, and what it did.
+/// Hosts that share a budget, with the requests and retries that they made.
 struct Fleet {
     now: Instant,
     hosts: Vec<Budget>,
     requests: Vec<Instant>,
-    repeats: Vec<Instant>,
+    retries: Vec<Instant>,
 }
 
 impl Fleet {
-    /// Hosts that have been up for long.
+    /// Returns hosts that have been up for one window.
     fn settled(hosts: usize) -> Self {
         let now = Instant::now();
         let mut fleet = Self {
             now,
             hosts: (0..hosts).map(|_| Budget::open(now)).collect(),
             requests: Vec::new(),
-            repeats: Vec::new(),
+            retries: Vec::new(),
         };
-        fleet.pass(BOUNDS.window);
+        fleet.advance(BOUNDS.window);
         fleet
     }
 
-    /// Time passes, in which all hosts know each other.
-    fn pass(&mut self, time: Duration) {
-        self.know_each_other();
+    /// Advances time, before and after which all hosts learn the number of hosts.
+    fn advance(&mut self, time: Duration) {
+        self.update_host_counts();
         self.now += time;
-        self.know_each_other();
+        self.update_host_counts();
     }
 
-    fn know_each_other(&mut self) {
-        let known = u32::try_from(self.hosts.len()).expect("a few hosts");
+    fn update_host_counts(&mut self) {
+        let known = u32::try_from(self.hosts.len()).expect("few hosts");
         for host in &mut self.hosts {
             host.shared_by(known, &BOUNDS, self.now);
         }
     }
 
-    /// Makes a move at a host; tells whether the budget is kept. It is judged when a repeat is granted: the
-    /// requests that allow it are those of the window that ends then.
-    fn make(&mut self, at: usize, what: Move) -> bool {
+    /// Applies an event at a host; returns whether the budget is kept.
+    ///
+    /// The budget is checked when a retry is granted, against the requests of the window that ends then.
+    fn apply(&mut self, at: usize, event: Event) -> bool {
         let service = "desk".into();
         let at = at % self.hosts.len();
-        match what {
-            Move::Request => {
+        match event {
+            Event::Request => {
                 self.hosts[at].request(&service, &BOUNDS, self.now);
                 self.requests.push(self.now);
             }
-            Move::Repeat => {
+            Event::Retry => {
                 if self.hosts[at].repeat(&service, &BOUNDS, self.now) {
-                    self.repeats.push(self.now);
+                    self.retries.push(self.now);
                     return self.is_kept();
                 }
             }
-            Move::Restart => self.hosts[at] = Budget::open(self.now),
-            Move::Leave if self.hosts.len() > 1 => {
+            Event::Restart => self.hosts[at] = Budget::open(self.now),
+            Event::Leave if self.hosts.len() > 1 => {
                 self.hosts.remove(at);
             }
-            Move::Leave => {}
-            Move::Join => self.hosts.push(Budget::open(self.now)),
+            Event::Leave => {}
+            Event::Join => self.hosts.push(Budget::open(self.now)),
         }
         true
     }
 
-    /// Whether the window that ends now has no more repeats than allowed. What another host was granted
-    /// earlier in it goes by the requests of the window that ended then, so these count where there are
-    /// several.
+    /// Whether the window that ends now has no more retries than allowed.
+    ///
+    /// A retry that another host was granted earlier in this window was checked against the window that ended then, so
+    /// with several hosts the requests of two windows count.
     fn is_kept(&self) -> bool {
-        let within = |moments: &[Instant], span: Duration| {
-            let recent = moments
+        let within = |times: &[Instant], span: Duration| {
+            let recent = times
                 .iter()
                 .filter(|at| self.now.duration_since(**at) < span);
             u32::try_from(recent.count()).map_or(f64::INFINITY, f64::from)
         };
         let windows = if self.hosts.len() == 1 { 1 } else { 2 };
         let requests = within(&self.requests, BOUNDS.window * windows);
-        within(&self.repeats, BOUNDS.window) <= requests * BOUNDS.ratio + BOUNDS.spare
+        within(&self.retries, BOUNDS.window) <= requests * BOUNDS.ratio + BOUNDS.spare
     }
 }
 
-/// Whether one host keeps the budget; a move is a request or a wish to repeat one, after a pause.
-fn one_host_keeps(moves: &[(bool, u8)]) -> bool {
+/// Whether a single host keeps the budget. Each event is a request (`true`) or an attempt to retry, after a pause in
+/// steps.
+fn one_host_keeps_the_budget(events: &[(bool, u8)]) -> bool {
     let mut fleet = Fleet::settled(1);
-    moves.iter().all(|(is_request, pause)| {
-        fleet.pass(STEP * u32::from(*pause));
-        let what = if *is_request {
-            Move::Request
+    events.iter().all(|(is_request, pause)| {
+        fleet.advance(STEP * u32::from(*pause));
+        let event = if *is_request {
+            Event::Request
         } else {
-            Move::Repeat
+            Event::Retry
         };
-        fleet.make(0, what)
+        fleet.apply(0, event)
     })
 }
 
 #[test]
-fn repeats_stay_within_the_budget_of_any_window() {
-    fn property(moves: Vec<(bool, u8)>) -> bool {
-        one_host_keeps(&moves)
+fn retries_stay_within_the_budget_in_any_window() {
+    fn property(events: Vec<(bool, u8)>) -> bool {
+        one_host_keeps_the_budget(&events)
     }
-    // Moves with which it was not kept.
+    // Events with which the budget was once exceeded.
     let found: [&[(bool, u8)]; 2] = [
         &[
             (true, 0),
@@ -153,78 +155,78 @@
             (false, 1),
         ],
     ];
-    for moves in found {
-        assert!(one_host_keeps(moves), "{moves:?}");
+    for events in found {
+        assert!(one_host_keeps_the_budget(events), "{events:?}");
     }
     drawn::quickcheck().quickcheck(property as fn(Vec<(bool, u8)>) -> bool);
 }
 
 #[test]
 fn a_fleet_keeps_the_budget_while_hosts_restart_leave_and_join() {
-    fn property(moves: Vec<(u8, u8, u8)>) -> bool {
+    fn property(events: Vec<(u8, u8, u8)>) -> bool {
         let mut fleet = Fleet::settled(HOSTS);
-        moves.into_iter().all(|(at, what, pause)| {
-            fleet.pass(STEP * u32::from(pause));
-            let what = match what % 10 {
-                0 => Move::Request,
-                1 => Move::Restart,
-                2 => Move::Leave,
-                3 => Move::Join,
-                _ => Move::Repeat,
+        events.into_iter().all(|(at, kind, pause)| {
+            fleet.advance(STEP * u32::from(pause));
+            let event = match kind % 10 {
+                0 => Event::Request,
+                1 => Event::Restart,
+                2 => Event::Leave,
+                3 => Event::Join,
+                _ => Event::Retry,
             };
-            fleet.make(at.into(), what)
+            fleet.apply(at.into(), event)
         })
     }
     drawn::quickcheck().quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
 #[test]
-fn a_host_has_a_part_of_the_spare_repeats_only_when_it_knows_its_part() {
+fn a_host_has_spare_retries_only_once_it_knows_its_share() {
     struct Case {
         name: &'static str,
-        /// How long it has been up.
+        /// Time since the host started.
         up: Duration,
-        /// How many hosts it knew, and how long ago.
+        /// Seconds ago, and the number of hosts that were known then.
         known: &'static [(u64, u32)],
-        repeats: usize,
+        retries: usize,
     }
     let window = BOUNDS.window;
     let cases = [
         Case {
-            name: "alone",
+            name: "the only host",
             up: window,
             known: &[(0, 1)],
-            repeats: 3,
+            retries: 3,
         },
         Case {
-            name: "of three",
+            name: "one of three hosts",
             up: window,
             known: &[(0, 3)],
-            repeats: 1,
+            retries: 1,
         },
         Case {
-            name: "it may have spent it before it was restarted",
+            name: "up for less than a window: it may have spent its share before a restart",
             up: window - STEP,
             known: &[(0, 1)],
-            repeats: 0,
+            retries: 0,
         },
         Case {
-            name: "it does not know the others yet",
+            name: "the number of hosts is not known yet",
             up: window * 2,
             known: &[],
-            repeats: 0,
+            retries: 0,
         },
         Case {
-            name: "two have just left, and may have spent theirs",
+            name: "two hosts left within the window and may have spent their shares",
             up: window,
             known: &[(9, 3), (0, 1)],
-            repeats: 1,
+            retries: 1,
         },
         Case {
-            name: "two left long ago",
+            name: "two hosts left before the window",
             up: window * 2,
             known: &[(11, 3), (0, 1)],
-            repeats: 3,
+            retries: 3,
         },
     ];
     for case in cases {
@@ -235,19 +237,19 @@
             let at = now - Duration::from_secs(*seconds_ago);
             budget.shared_by(*hosts, &BOUNDS, at);
         }
-        let wishes = (0..10).filter(|_| budget.repeat(&"desk".into(), &BOUNDS, now));
-        assert_eq!(wishes.count(), case.repeats, "{}", case.name);
+        let attempts = (0..10).filter(|_| budget.repeat(&"desk".into(), &BOUNDS, now));
+        assert_eq!(attempts.count(), case.retries, "{}", case.name);
     }
 }
 
 #[test]
-fn hosts_that_are_killed_while_repeats_are_spent_do_not_spend_them_again() {
-    // Servers that refuse much have used up what all hosts may repeat; then a part of the hosts is killed, and each
-    // host goes on wishing to repeat.
+fn killed_hosts_do_not_spend_the_same_retries_again() {
+    // Each host attempts two retries per request, as with servers that refuse much, so the budget of all hosts is used
+    // up. Some of the hosts are killed, and all go on attempting retries.
     struct Case {
         name: &'static str,
         killed: usize,
-        /// When they are killed, in steps after the budget was spent.
+        /// The step at which they are killed.
         after: u32,
     }
     let cases = [
@@ -272,22 +274,22 @@
             after: 450,
         },
     ];
-    /// Moves of each host, one each step: two windows and a half.
+    /// Steps of the run, which last two and a half windows.
     const STEPS: u32 = 1_250;
     for case in cases {
         let mut fleet = Fleet::settled(HOSTS);
         for step in 0..STEPS {
             for host in 0..HOSTS {
                 if step == case.after && host < case.killed {
-                    fleet.make(host, Move::Restart);
+                    fleet.apply(host, Event::Restart);
                 }
-                let wishes = [Move::Request, Move::Repeat, Move::Repeat];
-                for wish in wishes {
-                    assert!(fleet.make(host, wish), "{}: step {step}", case.name);
+                let attempts = [Event::Request, Event::Retry, Event::Retry];
+                for attempt in attempts {
+                    assert!(fleet.apply(host, attempt), "{}: step {step}", case.name);
                 }
             }
-            fleet.pass(STEP);
+            fleet.advance(STEP);
         }
-        assert!(!fleet.repeats.is_empty(), "{}", case.name);
+        assert!(!fleet.retries.is_empty(), "{}", case.name);
     }
 }
--- a/cypressvane/tests/exchange.rs
+++ b/cypressvane/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Routes, events and headers, as values.
+//! Route look-up, event splitting and header parsing.
 
 mod drawn;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_counts() {
+fn the_longest_prefix_of_the_host_wins() {
     let fleet = Fleet {
         tiers: vec![Tier {
             name: "urgent".into(),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn weights_spread_the_services() {
+fn weights_split_traffic_between_services() {
     let split = route("r", "h", "/", &[("one", 90), ("none", 0), ("two", 10)]);
     let cases = [
         (0.0, "one"),
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn events_are_the_same_however_the_bytes_come() {
-    fn property(cuts: Vec<u8>, tail: bool) -> bool {
+fn events_do_not_depend_on_how_the_bytes_are_chunked() {
+    fn property(chunk_sizes: Vec<u8>, tail: bool) -> bool {
         let whole = b"id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n: note\n\nid:9\ndata: d\n\n";
         let mut bytes = whole.to_vec();
         if tail {
@@ -93,14 +93,15 @@
         }
         let mut cutter = Cutter::default();
         let mut events = Vec::new();
-        let mut rest = &bytes[..];
-        for cut in cuts.iter().copied().chain(std::iter::repeat(7)) {
-            if rest.is_empty() {
+        let mut remaining = &bytes[..];
+        for chunk_size in chunk_sizes.iter().copied().chain(std::iter::repeat(7)) {
+            if remaining.is_empty() {
                 break;
             }
-            let (now, later) = rest.split_at(usize::from(cut % 16).min(rest.len()));
-            cutter.push(now);
-            rest = later;
+            let (chunk, rest) =
+                remaining.split_at(usize::from(chunk_size % 16).min(remaining.len()));
+            cutter.push(chunk);
+            remaining = rest;
             while let Some(event) = cutter.next_event() {
                 events.push(event);
             }
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn headers_say_what_they_say_and_nonsense_says_nothing() {
+fn headers_are_parsed_and_malformed_ones_ignored() {
     let dialect = Dialect::native();
     let ask = dialect.ask(&headers(&[
         ("x-request-id", "a"),
@@ -141,7 +142,7 @@
         answer: 5,
     };
     assert_eq!((ask.usage, ask.last_event), (Some(usage), Some(12)));
-    let nonsense = dialect.ask(&headers(&[
+    let malformed = dialect.ask(&headers(&[
         ("x-request-id", "a"),
         ("x-request-id", "b"),
         ("cypressvane-deadline-ms", "-1"),
@@ -149,7 +150,7 @@
         ("cypressvane-usage", "10"),
         ("last-event-id", "x"),
     ]));
-    assert_eq!(nonsense, cypressvane::exchange::Ask::default());
+    assert_eq!(malformed, cypressvane::exchange::Ask::default());
     let mut sent = headers(&[
         ("authorization", "Bearer key"),
         ("cypressvane-account", "forged"),
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn a_limit_is_one_plain_number_or_none() {
+fn a_limit_is_a_single_plain_number_or_malformed() {
     let cases: &[(&[&str], Limit)] = &[
         (&[], Limit::Unnamed),
         (&["3.2"], Limit::PerSecond(3.2)),
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn an_answer_tells_of_the_server_that_was_meant_alone() {
+fn an_answer_counts_for_its_server_only_if_both_were_intended() {
     let dialect = Dialect::native();
     let cases = [
         (StatusCode::OK, "a", true),
@@ -223,8 +224,12 @@
         (StatusCode::OK, "b", false),
         (StatusCode::MISDIRECTED_REQUEST, "a", false),
     ];
-    for (status, id, tells) in cases {
+    for (status, id, is_from_server) in cases {
         let reply = dialect.reply(status, &headers(&[("x-request-id", id)]));
-        assert_eq!(reply.tells_of_server(Some("a")), tells, "{status} {id}");
+        assert_eq!(
+            reply.tells_of_server(Some("a")),
+            is_from_server,
+            "{status} {id}"
+        );
     }
 }
--- a/cypressvane/tests/fleet.rs
+++ b/cypressvane/tests/fleet.rs
@@ -1,4 +1,6 @@
-//! What is wrong with a configuration is said with the entry, what was found and what is allowed.
+//! Configuration: validation, look-ups, and the manifest of its parts.
+//!
+//! A validation error names the entry, the value found and what is allowed.
 
 mod drawn;
 
@@ -8,7 +10,7 @@
 use cypressvane::name::Name;
 use quickcheck::{Arbitrary, Gen};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [[tiers]]
 name = "urgent"
 first_token_ms = 460
@@ -44,89 +46,89 @@
     name: &'static str,
     from: &'static str,
     to: &'static str,
-    says: &'static str,
+    expected: &'static str,
 }
 
 #[test]
-fn a_broken_configuration_is_rejected_with_its_reason() {
+fn an_invalid_configuration_is_rejected_with_a_reason() {
     let cases = [
         Case {
             name: "no tiers",
-            from: GOOD,
+            from: VALID,
             to: "",
-            says: "tiers: at least one entry is needed",
+            expected: "tiers: at least one entry is needed",
         },
         Case {
-            name: "a tier twice",
+            name: "a duplicate tier",
             from: "name = \"patient\"",
             to: "name = \"urgent\"",
-            says: "tiers: \"urgent\" stands twice",
+            expected: "tiers: \"urgent\" stands twice",
         },
         Case {
             name: "a name with a space",
             from: "name = \"rangers\"",
             to: "name = \"the rangers\"",
-            says: "accounts: name \"the rangers\": 1 to 64 letters",
+            expected: "accounts: name \"the rangers\": 1 to 64 letters",
         },
         Case {
             name: "an unknown tier",
             from: "tier = \"patient\"",
             to: "tier = \"slow\"",
-            says: "entry \"rangers\" names tier \"slow\", which does not exist",
+            expected: "entry \"rangers\" names tier \"slow\", which does not exist",
         },
         Case {
             name: "an unknown policy",
             from: "policy = \"plain\"",
             to: "policy = \"fancy\"",
-            says: "names policy \"fancy\", which does not exist",
+            expected: "names policy \"fancy\", which does not exist",
         },
         Case {
             name: "a rule for an unknown account",
             from: "account = \"rangers\"",
             to: "account = \"nobody\"",
-            says: "entry \"number 1\" names account \"nobody\"",
+            expected: "entry \"number 1\" names account \"nobody\"",
         },
         Case {
             name: "a short digest",
             from: "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff",
             to: "0011",
-            says: "accounts: \"rangers\": key_sha256: 64 hexadecimal digits allowed",
+            expected: "accounts: \"rangers\": key_sha256: 64 hexadecimal digits allowed",
         },
         Case {
-            name: "a zero",
+            name: "a zero objective",
             from: "first_token_ms = 460",
             to: "first_token_ms = 0",
-            says: "tiers: \"urgent\": first_token_ms: 0 found, at least 1 allowed",
+            expected: "tiers: \"urgent\": first_token_ms: 0 found, at least 1 allowed",
         },
         Case {
             name: "an unknown key",
             from: "kind = \"plain\"",
             to: "kind = \"plain\"\ncolour = 3",
-            says: "unknown field `colour`",
+            expected: "unknown field `colour`",
         },
         Case {
-            name: "no TOML",
+            name: "invalid TOML",
             from: "[[tiers]]",
             to: "[[tiers",
-            says: "line 2",
+            expected: "line 2",
         },
     ];
-    Fleet::parse(GOOD).expect("the good one is good");
+    Fleet::parse(VALID).expect("the configuration is valid");
     for case in cases {
-        let error = Fleet::parse(&GOOD.replace(case.from, case.to)).expect_err(case.name);
-        let said = error.to_string();
-        assert!(said.contains(case.says), "{}: {said}", case.name);
+        let error = Fleet::parse(&VALID.replace(case.from, case.to)).expect_err(case.name);
+        let message = error.to_string();
+        assert!(message.contains(case.expected), "{}: {message}", case.name);
     }
 }
 
 #[test]
-fn the_first_rule_that_matches_gives_the_tier() {
+fn the_first_matching_rule_sets_the_tier() {
     let cases = [
         ("permit-desk", "/permits/7", (0, "urgent")),
         ("permit-desk", "/leases/7", (1, "patient")),
         ("other", "/permits/7", (1, "patient")),
     ];
-    let index = Index::new(Fleet::parse(GOOD).expect("good"));
+    let index = Index::new(Fleet::parse(VALID).expect("the configuration is valid"));
     let account = index.fleet.accounts[0].clone();
     for (service, path, (rank, name)) in cases {
         let (found_rank, tier) = index.tier(&account, &Name::from(service), path);
@@ -137,11 +139,11 @@
 #[test]
 fn a_key_finds_its_account_and_no_other() {
     let key = "secret";
-    let text = GOOD.replace(
+    let text = VALID.replace(
         "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff",
         &digest::hex(key.as_bytes()),
     );
-    let index = Index::new(Fleet::parse(&text).expect("good"));
+    let index = Index::new(Fleet::parse(&text).expect("the configuration is valid"));
     assert_eq!(
         index.account(key).map(|account| &*account.name),
         Some("rangers")
@@ -151,7 +153,7 @@
     }
 }
 
-/// Names of accounts.
+/// Distinct account names.
 #[derive(Clone, Debug)]
 struct Names(Vec<String>);
 
@@ -168,8 +170,8 @@
     }
 }
 
-fn fleet_of(names: &Names) -> Fleet {
-    let mut fleet = Fleet::parse(GOOD).expect("good");
+fn fleet_with(names: &Names) -> Fleet {
+    let mut fleet = Fleet::parse(VALID).expect("the configuration is valid");
     let account = fleet.accounts.remove(0);
     for name in &names.0 {
         let key_sha256 = digest::hex(name.as_bytes());
@@ -183,12 +185,13 @@
 }
 
 #[test]
-fn parts_put_together_are_the_whole() {
+fn joined_parts_equal_the_original_configuration() {
     fn property(names: Names) -> bool {
-        let fleet = fleet_of(&names);
+        let fleet = fleet_with(&names);
         let cut = Cut::new(&fleet);
-        let manifest = Manifest::parse(&cut.manifest.text()).expect("its own text");
-        let mut joined = manifest.join(&cut.texts).expect("all parts are there");
+        let manifest =
+            Manifest::parse(&cut.manifest.text()).expect("a manifest parses its own text");
+        let mut joined = manifest.join(&cut.texts).expect("all parts are present");
         joined
             .accounts
             .sort_by(|one, other| one.name.cmp(&other.name));
@@ -198,22 +201,25 @@
 }
 
 #[test]
-fn a_change_of_one_account_moves_one_part() {
+fn a_change_of_one_account_changes_one_part() {
     let names = Names((0..1000).map(|index| format!("account-{index}")).collect());
-    let mut fleet = fleet_of(&names);
+    let mut fleet = fleet_with(&names);
     let before = Cut::new(&fleet);
     fleet.accounts[500].in_flight = Some(7);
     let after = Cut::new(&fleet);
-    let moved = after
+    let changed = after
         .texts
         .keys()
         .filter(|digest| !before.texts.contains_key(*digest));
-    assert_eq!(moved.count(), 1);
+    assert_eq!(changed.count(), 1);
 }
 
 #[test]
-fn an_altered_or_missing_part_is_noticed() {
-    let cut = Cut::new(&fleet_of(&Names(vec!["one".to_owned(), "two".to_owned()])));
+fn an_altered_or_missing_part_is_detected() {
+    let cut = Cut::new(&fleet_with(&Names(vec![
+        "one".to_owned(),
+        "two".to_owned(),
+    ])));
     for digest in cut.texts.keys() {
         let mut altered = cut.texts.clone();
         altered.insert(digest.clone(), "[]".to_owned());
@@ -225,10 +231,10 @@
 }
 
 #[test]
-fn changes_lead_from_one_manifest_to_the_next() {
+fn applied_changes_yield_the_next_manifest() {
     fn property(before: Names, after: Names) -> bool {
-        let before = Cut::new(&fleet_of(&before)).manifest;
-        let after = Cut::new(&fleet_of(&after)).manifest;
+        let before = Cut::new(&fleet_with(&before)).manifest;
+        let after = Cut::new(&fleet_with(&after)).manifest;
         before.with(&after.changes_from(&before)) == after
     }
     drawn::quickcheck().quickcheck(property as fn(Names, Names) -> bool);
--- a/cypressvane/tests/lapse.rs
+++ b/cypressvane/tests/lapse.rs
@@ -1,4 +1,4 @@
-//! Entries of backend servers that lapsed while the host list was away.
+//! Entries of backend servers that lapsed while the host list was unavailable.
 
 use std::time::Duration;
 
@@ -24,38 +24,38 @@
 
 struct Case {
     name: &'static str,
-    /// Servers at first, those that leave marked with a minus.
+    /// Servers that are listed first; a leading minus marks one that is leaving.
     first: &'static [&'static str],
-    /// When the list was back, in milliseconds.
-    back: Option<u64>,
-    /// Milliseconds, what is listed then, and what is taken as there.
-    looks: &'static [(u64, &'static [&'static str], &'static [&'static str])],
+    /// When the list became available again, in milliseconds.
+    list_returned_ms: Option<u64>,
+    /// Time of each poll in milliseconds, the listed servers, and the servers after merging.
+    polls: &'static [(u64, &'static [&'static str], &'static [&'static str])],
 }
 
 #[test]
-fn servers_that_lapsed_are_kept_for_two_seconds() {
+fn lapsed_servers_are_kept_for_two_seconds() {
     let cases = [
         Case {
-            name: "one server that is gone is gone",
+            name: "a single missing server is removed at once",
             first: &["a", "b", "c", "d"],
-            back: None,
-            looks: &[(0, &["a", "b", "c"], &["a", "b", "c"])],
+            list_returned_ms: None,
+            polls: &[(0, &["a", "b", "c"], &["a", "b", "c"])],
         },
         Case {
-            name: "one that is gone as the list is back is kept, and given up later",
+            name: "a server that is missing when the list returns is kept, and removed later",
             first: &["a", "b", "c", "d"],
-            back: Some(0),
-            looks: &[
+            list_returned_ms: Some(0),
+            polls: &[
                 (100, &["a", "b", "c"], &["a", "b", "c", "d"]),
                 (1_900, &["a", "b", "c"], &["a", "b", "c", "d"]),
                 (2_100, &["a", "b", "c"], &["a", "b", "c"]),
             ],
         },
         Case {
-            name: "most of a service gone at once has lapsed, though nothing else tells",
+            name: "most servers of a service missing at once have lapsed, even without another sign",
             first: &["a", "b", "c"],
-            back: None,
-            looks: &[
+            list_returned_ms: None,
+            polls: &[
                 (0, &[], &["a", "b", "c"]),
                 (500, &["a"], &["a", "b", "c"]),
                 (2_100, &["a"], &["a"]),
@@ -64,14 +64,14 @@
         Case {
             name: "a server that was leaving is not kept",
             first: &["a", "-b"],
-            back: Some(0),
-            looks: &[(100, &["a"], &["a"])],
+            list_returned_ms: Some(0),
+            polls: &[(100, &["a"], &["a"])],
         },
         Case {
-            name: "a list that was back long ago keeps none",
+            name: "a server that is missing long after the list returned is removed at once",
             first: &["a", "b", "c"],
-            back: Some(0),
-            looks: &[(5_000, &["a", "b"], &["a", "b"])],
+            list_returned_ms: Some(0),
+            polls: &[(5_000, &["a", "b"], &["a", "b"])],
         },
     ];
     for case in cases {
@@ -86,11 +86,11 @@
         };
         let mut lapse = Lapse::default();
         lapse.merge(entries(case.first), None, at(0));
-        for (millis, listed, there) in case.looks {
-            let merged = lapse.merge(entries(listed), case.back.map(at), at(*millis));
+        for (millis, listed, expected) in case.polls {
+            let merged = lapse.merge(entries(listed), case.list_returned_ms.map(at), at(*millis));
             let mut names: Vec<&str> = merged.iter().map(|entry| &*entry.name).collect();
             names.sort_unstable();
-            assert_eq!(names, *there, "{}: at {millis} ms", case.name);
+            assert_eq!(names, *expected, "{}: at {millis} ms", case.name);
         }
     }
 }
--- a/cypressvane/tests/limit.rs
+++ b/cypressvane/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The limits of client accounts, by a clock that the test moves.
+//! The limits of client accounts, with a simulated clock.
 
 mod drawn;
 
@@ -8,7 +8,7 @@
 use cypressvane::fleet::Account;
 use cypressvane::limit::{InFlight, Ledger, Over, Share, Tolerance};
 
-/// One host that knows of no other.
+/// The share of a host that is the only one.
 const ALONE: Share = Share { heard: 1, known: 1 };
 
 fn account() -> Account {
@@ -24,7 +24,7 @@
     name: &'static str,
     account: Account,
     share: Share,
-    /// Milliseconds from the beginning, tokens, and whether it is admitted.
+    /// Milliseconds since the start, tokens, and whether the request is admitted.
     requests: &'static [(u64, u32, bool)],
 }
 
@@ -57,7 +57,7 @@
             ],
         },
         Case {
-            name: "a host's own part",
+            name: "a host's own share",
             account: Account {
                 requests_per_second: Some(14),
                 ..account()
@@ -66,7 +66,7 @@
             requests: &[(0, 1, true), (0, 1, true), (0, 1, false)],
         },
         Case {
-            name: "a home that hears all gives out all",
+            name: "a home that hears from all hosts hands out the whole limit",
             account: Account {
                 tokens_per_second: Some(1_000),
                 ..account()
@@ -75,7 +75,7 @@
             requests: &[(0, 900, true), (0, 200, true), (0, 1, false)],
         },
         Case {
-            name: "a home that misses a host leaves its part to it",
+            name: "a home that does not hear from a host leaves that host its share",
             account: Account {
                 tokens_per_second: Some(1_000),
                 ..account()
@@ -84,7 +84,7 @@
             requests: &[(0, 500, true), (0, 1, false), (500, 200, true)],
         },
         Case {
-            name: "tokens a second: a long request passes once and is paid for afterwards",
+            name: "tokens a second: a long request overdraws the bucket once and delays the next ones",
             account: Account {
                 tokens_per_second: Some(100),
                 ..account()
@@ -114,12 +114,12 @@
     }
 }
 
-struct Flight {
+struct InFlightCase {
     name: &'static str,
     limit: Option<u32>,
     hosts: u32,
-    /// Requests that have begun, and those of them that have ended.
-    begun: u32,
+    /// Requests that have started, and how many of them have ended.
+    started: u32,
     ended: u32,
     admitted: bool,
 }
@@ -127,51 +127,51 @@
 #[test]
 fn requests_in_flight_are_bounded() {
     let cases = [
-        Flight {
+        InFlightCase {
             name: "no limit",
             limit: None,
             hosts: 1,
-            begun: 100,
+            started: 100,
             ended: 0,
             admitted: true,
         },
-        Flight {
+        InFlightCase {
             name: "the first",
             limit: Some(1),
             hosts: 1,
-            begun: 0,
+            started: 0,
             ended: 0,
             admitted: true,
         },
-        Flight {
+        InFlightCase {
             name: "one too many",
             limit: Some(1),
             hosts: 1,
-            begun: 1,
+            started: 1,
             ended: 0,
             admitted: false,
         },
-        Flight {
-            name: "a released request makes room",
+        InFlightCase {
+            name: "an ended request frees its place",
             limit: Some(1),
             hosts: 1,
-            begun: 1,
+            started: 1,
             ended: 1,
             admitted: true,
         },
-        Flight {
+        InFlightCase {
             name: "a share is never zero",
             limit: Some(1),
             hosts: 7,
-            begun: 0,
+            started: 0,
             ended: 0,
             admitted: true,
         },
-        Flight {
+        InFlightCase {
             name: "a share of one",
             limit: Some(1),
             hosts: 7,
-            begun: 1,
+            started: 1,
             ended: 0,
             admitted: false,
         },
@@ -182,7 +182,7 @@
             ..account()
         };
         let mut in_flight = InFlight::default();
-        (0..case.begun).for_each(|_| in_flight.enter(&account.name));
+        (0..case.started).for_each(|_| in_flight.enter(&account.name));
         (0..case.ended).for_each(|_| in_flight.leave(&account.name));
         let expected = if case.admitted {
             Ok(())
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn the_wait_that_is_told_is_enough() {
+fn the_returned_wait_is_sufficient() {
     fn property(rate: u8, before: u8) -> bool {
         let rate = u32::from(rate) + 1;
         let account = Account {
@@ -238,49 +238,49 @@
     assert_eq!(ledger.len(), 1);
 }
 
-/// A step in the life of an account's home.
+/// A step of a scenario at an account's home.
 #[derive(Clone, Copy)]
 enum Step {
-    /// A request of so many tokens comes, and is admitted or not.
+    /// A request of so many tokens arrives; `true` if it is admitted.
     Spend(u32, bool),
-    /// Another host tells what it gave out of its own part.
+    /// Another host reports the tokens that it handed out of its own share.
     Debit(u32),
-    /// The hosts that may be homes change, and the account's home with them or not.
+    /// The set of hosts that may be homes changes; `true` if the account's home moves.
     Rehome(bool),
 }
 
-struct Life {
+struct Scenario {
     name: &'static str,
-    /// Milliseconds from the beginning.
+    /// Steps with their times in milliseconds since the start.
     steps: &'static [(u64, Step)],
 }
 
 #[test]
-fn a_home_counts_what_others_gave_out_and_begins_anew_when_it_moves() {
+fn a_home_debits_what_other_hosts_handed_out_and_starts_empty_when_it_moves() {
     use Step::{Debit, Rehome, Spend};
     let cases = [
-        Life {
-            name: "what another host gave out is gone here",
+        Scenario {
+            name: "a debit by another host lowers the level",
             steps: &[(500, Debit(600)), (500, Spend(1, false))],
         },
-        Life {
-            name: "it may be more than was there, and is paid for",
+        Scenario {
+            name: "a debit may overdraw the bucket, which has to refill first",
             steps: &[
                 (500, Debit(2_500)),
                 (1_500, Spend(1, false)),
                 (3_500, Spend(1, true)),
             ],
         },
-        Life {
-            name: "a new home does not know what the one before gave out",
+        Scenario {
+            name: "a new home starts empty, since it does not know what the previous one handed out",
             steps: &[
                 (5_000, Rehome(true)),
                 (5_000, Spend(1, false)),
                 (5_001, Spend(1, true)),
             ],
         },
-        Life {
-            name: "a home that comes back begins anew",
+        Scenario {
+            name: "a host that becomes the home again starts empty",
             steps: &[
                 (5_000, Spend(100, true)),
                 (5_100, Rehome(true)),
@@ -289,16 +289,16 @@
                 (9_100, Spend(1, true)),
             ],
         },
-        Life {
-            name: "a home that stays keeps its count",
+        Scenario {
+            name: "a home that stays keeps its level",
             steps: &[
                 (5_000, Spend(100, true)),
                 (5_100, Rehome(false)),
                 (5_100, Spend(100, true)),
             ],
         },
-        Life {
-            name: "a debt stays with a home that stays",
+        Scenario {
+            name: "a home that stays keeps its debt",
             steps: &[
                 (5_000, Spend(9_000, true)),
                 (5_100, Rehome(false)),
@@ -333,8 +333,8 @@
 }
 
 #[test]
-fn no_window_sees_more_than_the_limit_and_its_tolerance_however_homes_move() {
-    fn property(moves: Vec<(u8, u16, bool)>) -> bool {
+fn no_window_exceeds_the_limit_and_its_tolerance_while_homes_move() {
+    fn property(requests: Vec<(u8, u16, bool)>) -> bool {
         let tolerance = Tolerance {
             window: Duration::from_secs(8),
             overage: 0.1,
@@ -351,8 +351,8 @@
         let mut home = 0;
         let mut admitted: Vec<(Instant, u32)> = Vec::new();
         let (limit, largest) = ((8_000.0 + 3_000.0) * 1.1 + 2_000.0, 600);
-        moves.into_iter().all(|(rest, tokens, moved)| {
-            now += Duration::from_millis(u64::from(rest) * 4);
+        requests.into_iter().all(|(pause, tokens, moved)| {
+            now += Duration::from_millis(u64::from(pause) * 4);
             if moved && tokens % 8 == 0 {
                 home = 1 - home;
                 ledgers
@@ -367,21 +367,21 @@
             let recent = admitted
                 .iter()
                 .filter(|(at, _)| now.duration_since(*at) < tolerance.window);
-            let seen: u32 = recent.map(|(_, tokens)| tokens).sum();
-            // The request that overdraws the bucket may go beyond its part of the tolerance.
-            f64::from(seen) <= limit
+            let in_window: u32 = recent.map(|(_, tokens)| tokens).sum();
+            // The bucket hands out only a part of the tolerance; the rest covers the request that overdraws it.
+            f64::from(in_window) <= limit
         })
     }
     drawn::quickcheck().quickcheck(property as fn(Vec<(u8, u16, bool)>) -> bool);
 }
 
 #[test]
-fn what_was_not_used_is_given_back_and_no_more() {
+fn unused_tokens_are_returned_up_to_the_size_of_the_bucket() {
     struct Case {
         name: &'static str,
-        /// Tokens of a first request, and whether it was sent.
+        /// Tokens of the first request, and whether it was sent.
         first: (u32, bool),
-        /// Whether a second request passes at once.
+        /// Whether a second request is admitted at once.
         second: bool,
     }
     let cases = [
@@ -411,7 +411,7 @@
         let second = ledger.spend(&account, 300, ALONE, now);
         assert_eq!(second.is_ok(), case.second, "{}: {second:?}", case.name);
     }
-    // Given back twice, it does not let more pass than the bucket holds.
+    // Tokens returned twice do not raise the level above the size of the bucket.
     let now = Instant::now();
     let mut ledger = Ledger::new(None, now);
     ledger.give_back(&account, 1_000, ALONE, now);
--- a/cypressvane/tests/limit_shares.rs
+++ b/cypressvane/tests/limit_shares.rs
@@ -1,4 +1,4 @@
-//! The parts of a limit that hosts give out by themselves.
+//! The shares of an account limit that hosts hand out on their own.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use cypressvane::limit::{Ledger, Share, Tolerance};
 
 #[test]
-fn hosts_that_each_give_out_their_own_part_keep_the_limit_together() {
-    // Seen: after all of 295 hosts were killed an account had 1.4% more than it may in a window. Homes that start are
-    // late, and each host that waits in vain gives out its own part: of the rate and the burst, but the whole of
-    // the slack, 295 times. Proved by the sum of the parts below, which was 7.5 times the limit.
+fn hosts_that_each_hand_out_their_own_share_keep_the_limit_together() {
+    // Guards against each host handing out the whole slack instead of its share. After all of 295 hosts were killed, an
+    // account got 1.4% more than its limit in a window: homes answer late after a start, and each host without an
+    // answer hands out its own share, which was a part of the rate and the burst, but all of the slack. The sum of the
+    // shares below was 7.5 times the limit.
     const RATE: u32 = 300_000;
     const SLACK: u32 = 140_000;
     const REQUEST: u32 = 50;
@@ -35,8 +36,8 @@
             known: hosts,
         };
         let mut ledger = Ledger::new(Some(tolerance), began);
-        // All hosts do the same, so that one stands for each.
-        let given: Vec<u64> = (0..STEPS)
+        // All hosts behave alike, so one stands for each.
+        let handed_out: Vec<u64> = (0..STEPS)
             .map(|step| {
                 let now = began + Duration::from_millis(STEP_MS * step);
                 let mut tokens = 0;
@@ -47,15 +48,18 @@
             })
             .collect();
         let steps = usize::try_from(8_000 / STEP_MS).expect("a small number");
-        let most = given
+        let max_in_window = handed_out
             .windows(steps)
             .map(|window| window.iter().sum::<u64>())
             .max();
-        let most = most.expect("more steps than a window has");
-        assert!(most <= allowed, "{hosts} hosts: {most} of {allowed}");
+        let max_in_window = max_in_window.expect("more steps than a window has");
         assert!(
-            most * 4 >= allowed * 3,
-            "{hosts} hosts: only {most} of {allowed}"
+            max_in_window <= allowed,
+            "{hosts} hosts: {max_in_window} of {allowed}"
+        );
+        assert!(
+            max_in_window * 4 >= allowed * 3,
+            "{hosts} hosts: only {max_in_window} of {allowed}"
         );
     }
 }
--- a/cypressvane/tests/policy.rs
+++ b/cypressvane/tests/policy.rs
@@ -1,4 +1,4 @@
-//! What policy programs decide, and that broken, endless and huge ones are stopped.
+//! Decisions of policy programs, and rejection of invalid, endless and oversized ones.
 
 mod drawn;
 
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_program_that_is_no_use_is_rejected() {
+fn an_invalid_program_is_rejected() {
     let huge = format!(
         "fn decide(request, queue) {{ wait() }} // {}",
         "x".repeat(20_000)
@@ -121,14 +121,14 @@
             "eval",
         ),
         (
-            "a field that is not there",
+            "missing field",
             "fn decide(request, queue) { request.nobody.name }",
             "line 1",
         ),
     ];
-    for (name, program, says) in cases {
-        let said = compile(program).expect_err(name).to_string();
-        assert!(said.contains(says), "{name}: {said}");
+    for (name, program, expected) in cases {
+        let message = compile(program).expect_err(name).to_string();
+        assert!(message.contains(expected), "{name}: {message}");
     }
 }
 
--- a/cypressvane/tests/rollout.rs
+++ b/cypressvane/tests/rollout.rs
@@ -1,7 +1,7 @@
-//! Roll-outs by a clock that the test moves: hosts before servers of two versions, and a coordinator.
+//! Roll-outs with a simulated clock: hosts in front of servers of two versions, and a coordinator.
 //!
-//! What must hold whatever happens: a bad version gets no more than its share of the requests and the slack, and a
-//! roll-out has one end. What is wanted besides: a good version is completed in time, a bad one rolled back soon.
+//! Invariants: a bad version gets no more than its share of the requests plus the slack, and a roll-out has one end.
+//! Goals: a good version is completed in time, and a bad one is rolled back soon.
 
 mod drawn;
 
@@ -20,43 +20,44 @@
 const TICK: Duration = Duration::from_millis(50);
 /// Ticks between two reports of a host.
 const REPORT_TICKS: u64 = 5;
-/// Answers of a bad version after which it is to get no more, and the time that this may take, in seconds.
+/// Bad answers after which a version is to get no more requests.
 const BAD_ANSWERS: u64 = 50;
+/// Longest time from the last of them to its last request, in seconds.
 const ROLL_BACK_S: f64 = 5.0;
 
-/// How the servers of a version answer, by route and by the part of the order's time that is over.
+/// How the servers of a version answer, by route and by the elapsed fraction of the order's duration.
 #[derive(Clone, Copy)]
-struct Manner {
-    /// Part of the answers that fail.
-    fails: fn(route: usize, passed: f64) -> f64,
-    /// Part of the answers that are slow.
-    slow: fn(route: usize, passed: f64) -> f64,
+struct Behavior {
+    /// Fraction of the answers that fail.
+    failure_rate: fn(route: usize, elapsed: f64) -> f64,
+    /// Fraction of the answers that are slow.
+    slow_rate: fn(route: usize, elapsed: f64) -> f64,
 }
 
-const USUAL: Manner = Manner {
-    fails: |_, _| 0.01,
-    slow: |_, _| 0.0,
+const NORMAL: Behavior = Behavior {
+    failure_rate: |_, _| 0.01,
+    slow_rate: |_, _| 0.0,
 };
 
 struct Case {
     name: &'static str,
-    old: Manner,
-    new: Manner,
-    /// Requests a second.
-    pace: f64,
+    old: Behavior,
+    new: Behavior,
+    /// Requests per second.
+    request_rate: f64,
     duration_s: u64,
-    /// Ticks at which the coordinator is lost, and another goes on with what is kept.
-    losses: &'static [u64],
+    /// Ticks at which the coordinator is lost and another one resumes from the stored progress.
+    coordinator_losses: &'static [u64],
     end: Stage,
 }
 
-const CASE: Case = Case {
+const DEFAULT_CASE: Case = Case {
     name: "",
-    old: USUAL,
-    new: USUAL,
-    pace: 440.0,
+    old: NORMAL,
+    new: NORMAL,
+    request_rate: 440.0,
     duration_s: 12,
-    losses: &[],
+    coordinator_losses: &[],
     end: Stage::Completed,
 };
 
@@ -65,143 +66,153 @@
         name,
         new,
         end: Stage::RolledBack,
-        ..CASE
+        ..DEFAULT_CASE
     };
     vec![
         Case {
             name: "a good version",
-            ..CASE
+            ..DEFAULT_CASE
         },
         Case {
-            name: "a good version while a route fails by itself on both",
-            old: Manner {
-                fails: |route, _| if route == 1 { 0.14 } else { 0.01 },
-                ..USUAL
+            name: "a good version while one route fails on both versions",
+            old: Behavior {
+                failure_rate: |route, _| if route == 1 { 0.14 } else { 0.01 },
+                ..NORMAL
             },
-            new: Manner {
-                fails: |route, _| if route == 1 { 0.14 } else { 0.01 },
-                ..USUAL
+            new: Behavior {
+                failure_rate: |route, _| if route == 1 { 0.14 } else { 0.01 },
+                ..NORMAL
             },
-            ..CASE
+            ..DEFAULT_CASE
         },
         Case {
-            name: "a good version while half of everything fails for a time",
-            old: Manner {
-                fails: |_, passed| {
-                    if (0.3..0.6).contains(&passed) {
+            name: "a good version while 45% of all answers fail for a time",
+            old: Behavior {
+                failure_rate: |_, elapsed| {
+                    if (0.3..0.6).contains(&elapsed) {
                         0.45
                     } else {
                         0.01
                     }
                 },
-                ..USUAL
+                ..NORMAL
             },
-            new: Manner {
-                fails: |_, passed| {
-                    if (0.3..0.6).contains(&passed) {
+            new: Behavior {
+                failure_rate: |_, elapsed| {
+                    if (0.3..0.6).contains(&elapsed) {
                         0.45
                     } else {
                         0.01
                     }
                 },
-                ..USUAL
+                ..NORMAL
             },
-            ..CASE
+            ..DEFAULT_CASE
         },
         Case {
             name: "a good version, the coordinator lost three times",
-            losses: &[20, 90, 200],
-            ..CASE
+            coordinator_losses: &[20, 90, 200],
+            ..DEFAULT_CASE
         },
         Case {
             name: "a good version of a service with less traffic, for a longer time",
-            pace: 30.0,
+            request_rate: 30.0,
             duration_s: 30,
-            ..CASE
+            ..DEFAULT_CASE
         },
         Case {
-            name: "nobody asks",
-            pace: 0.0,
+            name: "no requests",
+            request_rate: 0.0,
             end: Stage::RolledBack,
-            ..CASE
+            ..DEFAULT_CASE
         },
         rolled_back(
-            "half fails at once",
-            Manner {
-                fails: |_, _| 0.5,
-                ..USUAL
+            "half of the answers fail from the start",
+            Behavior {
+                failure_rate: |_, _| 0.5,
+                ..NORMAL
             },
         ),
         rolled_back(
-            "a third fails late",
-            Manner {
-                fails: |_, passed| if passed > 0.6 { 0.35 } else { 0.01 },
-                ..USUAL
+            "a third of the answers fail late",
+            Behavior {
+                failure_rate: |_, elapsed| if elapsed > 0.6 { 0.35 } else { 0.01 },
+                ..NORMAL
             },
         ),
         rolled_back(
             "one route fails",
-            Manner {
-                fails: |route, _| if route == 2 { 0.45 } else { 0.01 },
-                ..USUAL
+            Behavior {
+                failure_rate: |route, _| if route == 2 { 0.45 } else { 0.01 },
+                ..NORMAL
             },
         ),
         rolled_back(
-            "half is slow",
-            Manner {
-                slow: |_, _| 0.45,
-                ..USUAL
+            "45% of the answers are slow",
+            Behavior {
+                slow_rate: |_, _| 0.45,
+                ..NORMAL
             },
         ),
         rolled_back(
-            "half is slow on one route, late",
-            Manner {
-                slow: |route, passed| if route == 0 && passed > 0.4 { 0.5 } else { 0.0 },
-                ..USUAL
+            "half of the answers on one route are slow, late",
+            Behavior {
+                slow_rate: |route, elapsed| {
+                    if route == 0 && elapsed > 0.4 {
+                        0.5
+                    } else {
+                        0.0
+                    }
+                },
+                ..NORMAL
             },
         ),
         Case {
-            losses: &[20, 40, 60],
+            coordinator_losses: &[20, 40, 60],
             ..rolled_back(
-                "half fails, and the coordinator is lost three times",
-                Manner {
-                    fails: |_, _| 0.5,
-                    ..USUAL
+                "half of the answers fail, and the coordinator is lost three times",
+                Behavior {
+                    failure_rate: |_, _| 0.5,
+                    ..NORMAL
                 },
             )
         },
     ]
 }
 
-/// A host as far as roll-outs matter.
+/// The part of a host that matters to a roll-out.
 #[derive(Clone, Debug, Default)]
 struct Host {
     requests: u64,
+    /// Requests that it may still send to the canaries.
     permits: u64,
-    all: bool,
+    /// Whether it sends all requests to the new version.
+    sends_all: bool,
     old: BTreeMap<Name, Tally>,
     new: BTreeMap<Name, Tally>,
 }
 
-/// What came of a roll-out.
+/// The result of a run.
 #[derive(Debug, Default)]
 struct Outcome {
     end: Option<Stage>,
-    /// When it ended, as a part of the order's time.
+    /// When it ended, as a fraction of the order's duration.
     ended_at: f64,
     requests: u64,
+    /// Requests that went to the new version.
     exposed: u64,
+    /// Failed or slow answers of the new version.
     bad: u64,
-    /// When the last of so many bad answers came that the version is to get no more, as a part of the order's time.
+    /// When the new version reached `BAD_ANSWERS`, as a fraction of the order's duration.
     known_bad_at: Option<f64>,
-    /// When a request went to the new version last.
-    exposed_at: f64,
-    /// All ends that were kept.
+    /// When the last request went to the new version, as a fraction of the order's duration.
+    last_exposed_at: f64,
+    /// All ends that were stored.
     all_ends: Vec<Stage>,
     why: String,
 }
 
-/// The platform's row.
+/// The platform's row with the stored progress.
 #[derive(Default)]
 struct Row(Option<Progress>);
 
@@ -216,29 +227,29 @@
     }
 }
 
-/// Plays an order; `is_kept` says of each tick whether the platform takes writes.
-fn play(case: &Case, hosts: usize, seed: u64, is_kept: impl Fn(u64) -> bool) -> Outcome {
+/// Simulates an order; `is_writable` tells for each tick whether the platform accepts writes.
+fn run(case: &Case, hosts: usize, seed: u64, is_writable: impl Fn(u64) -> bool) -> Outcome {
     let mut random = fastrand::Rng::with_seed(seed);
-    let began = Instant::now();
+    let start = Instant::now();
     let duration = Duration::from_secs(case.duration_s);
-    let due = began + duration;
+    let due = start + duration;
     let mut row = Row::default();
     let mut rollout = Rollout::open(order(case.duration_s), BOUNDS, due, None);
     let mut fleet = vec![Host::default(); hosts];
     let mut outcome = Outcome::default();
-    let mut owed = 0.0;
+    let mut due_requests = 0.0;
     let ticks = (duration.as_millis() / TICK.as_millis()) as u64 + 40;
     for tick in 0..ticks {
-        let now = began + TICK * u32::try_from(tick).expect("few ticks");
-        let passed = tick as f64 * TICK.as_secs_f64() / duration.as_secs_f64();
-        if case.losses.contains(&tick) {
+        let now = start + TICK * u32::try_from(tick).expect("few ticks");
+        let elapsed = tick as f64 * TICK.as_secs_f64() / duration.as_secs_f64();
+        if case.coordinator_losses.contains(&tick) {
             rollout = Rollout::open(order(case.duration_s), BOUNDS, due, row.0.as_ref());
         }
-        owed += case.pace * TICK.as_secs_f64();
-        while owed >= 1.0 {
-            owed -= 1.0;
+        due_requests += case.request_rate * TICK.as_secs_f64();
+        while due_requests >= 1.0 {
+            due_requests -= 1.0;
             let host = random.usize(..hosts);
-            ask(case, &mut fleet[host], &mut outcome, passed, &mut random);
+            send_request(case, &mut fleet[host], &mut outcome, elapsed, &mut random);
         }
         for (index, host) in fleet.iter_mut().enumerate() {
             if (tick + index as u64).is_multiple_of(REPORT_TICKS) {
@@ -246,13 +257,13 @@
             }
         }
         if let Some(progress) = rollout.step(now)
-            && is_kept(tick)
+            && is_writable(tick)
         {
             if progress.stage != Stage::InProgress {
                 outcome.all_ends.push(progress.stage);
                 outcome.end = Some(progress.stage);
                 outcome.why.clone_from(&progress.why);
-                outcome.ended_at = passed;
+                outcome.ended_at = elapsed;
             }
             rollout.kept(&progress);
             row.0 = Some(progress);
@@ -260,7 +271,7 @@
         if matches!(rollout.word(), Word::Nothing | Word::Ended(_)) {
             for host in &mut fleet {
                 host.permits = 0;
-                host.all = false;
+                host.sends_all = false;
             }
         }
         if outcome.end.is_some() {
@@ -270,24 +281,24 @@
     outcome
 }
 
-/// One request at a host.
-fn ask(
+/// Sends one request through a host.
+fn send_request(
     case: &Case,
     host: &mut Host,
     outcome: &mut Outcome,
-    passed: f64,
+    elapsed: f64,
     random: &mut fastrand::Rng,
 ) {
     let route = [0, 0, 0, 1, 2][random.usize(..5)];
     let name: Name = format!("route-{route}").into();
     host.requests += 1;
     outcome.requests += 1;
-    let is_new = host.all || host.permits > 0;
+    let is_new = host.sends_all || host.permits > 0;
     host.permits = host.permits.saturating_sub(u64::from(is_new));
-    let manner = if is_new { case.new } else { case.old };
-    let fails = random.f64() < (manner.fails)(route, passed);
-    let is_slow = random.f64() < (manner.slow)(route, passed);
-    // Servers of one version differ in speed by five times.
+    let behavior = if is_new { case.new } else { case.old };
+    let fails = random.f64() < (behavior.failure_rate)(route, elapsed);
+    let is_slow = random.f64() < (behavior.slow_rate)(route, elapsed);
+    // Servers of one version differ in speed by a factor of five.
     let speed = [0.55, 1.0, 2.8][random.usize(..3)];
     let time = (1.0 + 0.2 * random.f64()) / speed * if is_slow { 5.0 } else { 1.0 };
     let tallies = if is_new { &mut host.new } else { &mut host.old };
@@ -300,14 +311,15 @@
     }
     if is_new {
         outcome.exposed += 1;
-        outcome.exposed_at = passed;
+        outcome.last_exposed_at = elapsed;
         outcome.bad += u64::from(fails || is_slow);
         if outcome.bad >= BAD_ANSWERS {
-            outcome.known_bad_at.get_or_insert(passed);
+            outcome.known_bad_at.get_or_insert(elapsed);
         }
     }
 }
 
+/// Sends the report of a host and applies the reply of the coordinator.
 fn report(rollout: &mut Rollout, index: usize, host: &mut Host, now: Instant) {
     let report = Report {
         requests: host.requests,
@@ -316,59 +328,67 @@
         new: std::mem::take(&mut host.new),
     };
     let name: Name = format!("host-{index}").into();
-    let word = rollout.hear(&name, 1, &report, now);
-    host.all = word == Word::All;
-    host.permits = match word {
+    let instruction = rollout.hear(&name, 1, &report, now);
+    host.sends_all = instruction == Word::All;
+    host.permits = match instruction {
         Word::Canary(permits) => permits,
         Word::All | Word::Nothing | Word::Ended(_) => 0,
     };
 }
 
-fn bound(requests: u64) -> f64 {
+/// Most requests that a bad version may get.
+fn exposure_bound(requests: u64) -> f64 {
     requests as f64 * BOUNDS.share + BOUNDS.slack
 }
 
 #[test]
 fn good_versions_are_completed_in_time_and_bad_ones_rolled_back_within_their_bound() {
-    /// Plays of each case; of each at most one may end otherwise, since what is seen is chance.
-    const PLAYS: u64 = 40;
+    /// Runs of each case. At most one of them may end differently, since the answers are random.
+    const RUNS: u64 = 40;
     for case in cases() {
-        let mut otherwise = Vec::new();
-        for seed in 0..PLAYS {
-            let outcome = play(&case, 12, seed, |_| true);
-            let told = format!("{}, seed {seed}: {outcome:?}", case.name);
-            assert!(outcome.end.is_some(), "{told}");
-            assert!(outcome.ended_at <= 1.0, "{told}");
-            assert!(outcome.exposed as f64 <= bound(outcome.requests), "{told}");
+        let mut unexpected = Vec::new();
+        for seed in 0..RUNS {
+            let outcome = run(&case, 12, seed, |_| true);
+            let summary = format!("{}, seed {seed}: {outcome:?}", case.name);
+            assert!(outcome.end.is_some(), "{summary}");
+            assert!(outcome.ended_at <= 1.0, "{summary}");
+            assert!(
+                outcome.exposed as f64 <= exposure_bound(outcome.requests),
+                "{summary}"
+            );
             if case.end == Stage::RolledBack {
                 let known = outcome.known_bad_at.unwrap_or(1.0);
-                let late_s = (outcome.exposed_at - known) * case.duration_s as f64;
-                assert!(late_s <= ROLL_BACK_S, "{told}");
+                let late_s = (outcome.last_exposed_at - known) * case.duration_s as f64;
+                assert!(late_s <= ROLL_BACK_S, "{summary}");
             }
             if outcome.end != Some(case.end) {
-                otherwise.push(told);
+                unexpected.push(summary);
             }
         }
-        assert!(otherwise.len() <= 1, "{otherwise:#?}");
+        assert!(unexpected.len() <= 1, "{unexpected:#?}");
     }
 }
 
-/// A play that drawn arguments once found: the platform takes no writes for 3 s at a time, again and again, while a
-/// version turns bad halfway.
+/// A run that the property test below once found. The platform rejects writes for 1.5 s from each of five ticks, which
+/// merge into outages of 4.2 s and 3 s, and the failure rate of the new version rises from 5% to 30% halfway.
 #[test]
-fn the_bound_holds_while_the_platform_is_away_again_and_again() {
+fn the_bound_holds_while_the_platform_is_repeatedly_unavailable() {
     let case = Case {
-        pace: 30.0,
-        new: Manner {
-            fails: |_, passed| if passed > 0.5 { 0.3 } else { 0.05 },
-            ..USUAL
+        request_rate: 30.0,
+        new: Behavior {
+            failure_rate: |_, elapsed| if elapsed > 0.5 { 0.3 } else { 0.05 },
+            ..NORMAL
         },
-        ..CASE
+        ..DEFAULT_CASE
+    };
+    let outages = [54, 24, 237, 0, 207];
+    let is_unavailable = |tick: u64| {
+        outages
+            .iter()
+            .any(|from| (*from..from + 30).contains(&tick))
     };
-    let away = [54, 24, 237, 0, 207];
-    let is_away = |tick: u64| away.iter().any(|from| (*from..from + 30).contains(&tick));
-    let outcome = play(&case, 5, 0, |tick| !is_away(tick));
-    let bound = bound(outcome.requests);
+    let outcome = run(&case, 5, 0, |tick| !is_unavailable(tick));
+    let bound = exposure_bound(outcome.requests);
     assert!(
         outcome.exposed as f64 <= bound,
         "{} of {bound} requests",
@@ -378,43 +398,45 @@
 }
 
 #[test]
-fn a_completion_that_is_not_kept_yet_is_taken_back_by_evidence() {
+fn a_completion_that_is_not_stored_yet_is_revoked_by_evidence() {
     let case = Case {
-        new: Manner {
-            fails: |_, passed| if passed > 0.955 { 0.5 } else { 0.01 },
-            ..USUAL
+        new: Behavior {
+            failure_rate: |_, elapsed| if elapsed > 0.955 { 0.5 } else { 0.01 },
+            ..NORMAL
         },
-        ..CASE
+        ..DEFAULT_CASE
     };
-    let is_away = |tick: u64| (215..262).contains(&tick);
-    let outcome = play(&case, 12, 0, |tick| !is_away(tick));
+    let is_unavailable = |tick: u64| (215..262).contains(&tick);
+    let outcome = run(&case, 12, 0, |tick| !is_unavailable(tick));
     assert_eq!(outcome.end, Some(Stage::RolledBack), "{outcome:?}");
-    let bound = bound(outcome.requests);
+    let bound = exposure_bound(outcome.requests);
     assert!(outcome.exposed as f64 <= bound, "{outcome:?}");
 }
 
 #[test]
-fn no_play_exceeds_the_bound_or_has_two_ends() {
-    fn holds(seed: u64, pace: u16, lost: Vec<u8>, away: Vec<u8>) -> TestResult {
+fn no_run_exceeds_the_bound_or_has_two_ends() {
+    fn holds(seed: u64, request_rate: u16, lost: Vec<u8>, outages: Vec<u8>) -> TestResult {
         let case = Case {
-            pace: f64::from(pace % 1000),
-            new: Manner {
-                fails: |_, passed| if passed > 0.5 { 0.3 } else { 0.05 },
-                ..USUAL
+            request_rate: f64::from(request_rate % 1000),
+            new: Behavior {
+                failure_rate: |_, elapsed| if elapsed > 0.5 { 0.3 } else { 0.05 },
+                ..NORMAL
             },
-            ..CASE
+            ..DEFAULT_CASE
         };
-        let losses: Vec<u64> = lost.iter().take(6).map(|tick| u64::from(*tick)).collect();
+        let coordinator_losses: Vec<u64> =
+            lost.iter().take(6).map(|tick| u64::from(*tick)).collect();
         let case = Case {
-            losses: Box::leak(losses.into_boxed_slice()),
+            coordinator_losses: Box::leak(coordinator_losses.into_boxed_slice()),
             ..case
         };
-        let is_away = |tick: u64| {
-            away.iter()
+        let is_unavailable = |tick: u64| {
+            outages
+                .iter()
                 .any(|from| (0..30).contains(&(tick as i64 - i64::from(*from))))
         };
-        let outcome = play(&case, 5, seed, |tick| !is_away(tick));
-        let is_within = outcome.exposed as f64 <= bound(outcome.requests);
+        let outcome = run(&case, 5, seed, |tick| !is_unavailable(tick));
+        let is_within = outcome.exposed as f64 <= exposure_bound(outcome.requests);
         TestResult::from_bool(is_within && outcome.all_ends.len() <= 1)
     }
     drawn::quickcheck().quickcheck(holds as fn(u64, u16, Vec<u8>, Vec<u8>) -> TestResult);
