--- a/cypressvane_standin/src/audit.rs
+++ b/cypressvane_standin/src/audit.rs
@@ -1,4 +1,4 @@
-//! Two ledgers, the callers' and the engines', and what must hold between them.
+//! Compares what callers sent and received with the ledgers of the engines.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,12 +12,12 @@
 use crate::caller::{Answer, Ask, ask};
 use crate::fleet::Fleet;
 
-/// What a caller asked and what came of it.
+/// A request of a caller and its result.
 #[derive(Debug)]
 pub struct Told {
-    /// What it asked.
+    /// The request.
     pub ask: Ask,
-    /// What came back; an error when the host itself was gone.
+    /// The answer; an error when the host could not be reached or closed the connection before it.
     pub result: Result<Answer, client::Error>,
 }
 
@@ -32,7 +32,7 @@
     })
 }
 
-/// Waits for all answers.
+/// Waits for the results of all requests.
 pub async fn gather(tasks: Vec<Task<Told>>) -> Vec<Told> {
     let mut told = Vec::new();
     for task in tasks {
@@ -41,16 +41,16 @@
     told
 }
 
-/// How often each request id, and each idempotency key, reached an engine.
+/// How often each request id and each idempotency key reached an engine.
 #[derive(Debug, Default)]
 pub struct Seen {
-    /// By request id.
+    /// Counts by request id.
     pub ids: BTreeMap<String, u64>,
-    /// By idempotency key.
+    /// Counts by idempotency key.
     pub keys: BTreeMap<String, u64>,
 }
 
-/// Adds the ledgers of engines up.
+/// Sums the counts of the ledgers of `engines`.
 ///
 /// # Errors
 /// When an engine does not answer.
@@ -68,37 +68,46 @@
     Ok(seen)
 }
 
-/// Says what does not hold between the ledgers: requests or keys that reached engines twice,
-/// refusals that say "not run" and are untrue, whole answers that are not the caller's own.
+/// Lists the violations: request ids or keys that reached engines more than once, errors that claim
+/// "not run" although the request reached an engine, and whole answers with the wrong text or to
+/// requests that reached no engine.
 #[must_use]
 pub fn violations(told: &[Told], seen: &Seen) -> Vec<String> {
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     for (id, count) in seen.ids.iter().filter(|(_, count)| **count != 1) {
-        found.push(format!("request {id} reached engines {count} times"));
+        violations.push(format!("request {id} reached engines {count} times"));
     }
     for (key, count) in seen.keys.iter().filter(|(_, count)| **count != 1) {
-        found.push(format!("key {key} reached engines {count} times"));
+        violations.push(format!("key {key} reached engines {count} times"));
     }
     for told in told {
         let Ok(answer) = &told.result else { continue };
-        found.extend(violation(told, answer, seen));
+        violations.extend(violation(told, answer, seen));
     }
-    found
+    violations
 }
 
 fn violation(told: &Told, answer: &Answer, seen: &Seen) -> Option<String> {
     if let Some(error) = &answer.error {
-        let untrue = error.ran == Ran::No && seen.ids.contains_key(&error.request_id);
-        return untrue.then(|| format!("{error:?} is untrue"));
+        let contradicted = error.ran == Ran::No && seen.ids.contains_key(&error.request_id);
+        return contradicted.then(|| format!("{error:?}, but the request reached an engine"));
     }
     if !answer.whole {
         return None;
     }
     if answer.text != told.ask.expected() {
-        return Some(format!("{} is not its own answer", answer.request_id));
+        return Some(format!(
+            "request {} got an answer with the wrong text",
+            answer.request_id
+        ));
     }
-    let answered = seen.ids.contains_key(&answer.request_id);
-    (!answered).then(|| format!("{} was answered by nobody", answer.request_id))
+    let reached = seen.ids.contains_key(&answer.request_id);
+    (!reached).then(|| {
+        format!(
+            "request {} was answered but reached no engine",
+            answer.request_id
+        )
+    })
 }
 
 /// Number of whole answers.
@@ -108,7 +117,7 @@
     told.iter().filter(is_whole).count()
 }
 
-/// Number of answers whose error says so of having run.
+/// Number of answers whose error states `ran`.
 #[must_use]
 pub fn ran(told: &[Told], ran: Ran) -> usize {
     let errors = told
--- a/cypressvane_standin/src/caller.rs
+++ b/cypressvane_standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests as clients do and keeps what came back.
+//! A caller that sends completion requests as clients do and records the answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use http_types::{Method, Response};
 use serde_json::{Value, json};
 
-/// Longest time that a caller waits.
-const PATIENCE: Duration = Duration::from_secs(120);
-/// Bytes read at once.
+/// Timeout of a connection, and of the head of an answer.
+const TIMEOUT: Duration = Duration::from_secs(120);
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// What an event begins with.
-const EVENT: &str = "data: ";
-/// The event that ends a whole stream.
+/// The prefix of the data of a server-sent event.
+const EVENT_PREFIX: &str = "data: ";
+/// The data of the event that ends a complete stream.
 const DONE: &str = "[DONE]";
 
 /// A request for a completion.
@@ -27,18 +27,18 @@
     pub key: String,
     /// The model.
     pub model: String,
-    /// The prompt; its last word comes back in each token.
+    /// The prompt; each token of the answer contains its last word.
     pub prompt: String,
-    /// Answer tokens.
+    /// Number of answer tokens.
     pub max_tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// More headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
 }
 
 impl Ask {
-    /// A request for a whole answer of a few tokens.
+    /// Creates a request for an answer of 4 tokens that is not streamed.
     #[must_use]
     pub fn new(key: &str, model: &str, prompt: &str) -> Self {
         Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The same with a streamed answer of so many tokens.
+    /// Streams the answer and sets its number of tokens.
     #[must_use]
     pub fn streamed(mut self, max_tokens: u32) -> Self {
         self.stream = true;
@@ -59,14 +59,14 @@
         self
     }
 
-    /// The same with one more header.
+    /// Adds a header.
     #[must_use]
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// What its whole answer says.
+    /// The text of the complete answer to this request.
     #[must_use]
     pub fn expected(&self) -> String {
         let tag = self.prompt.split_whitespace().last().unwrap_or("nothing");
@@ -77,7 +77,7 @@
     }
 }
 
-/// What came back.
+/// The answer to a request.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     /// The HTTP status.
@@ -90,18 +90,18 @@
     pub text: String,
     /// The refusal or failure, if there is one.
     pub error: Option<refusal::Detail>,
-    /// Whether the answer ended as a whole one does.
+    /// Whether the answer is complete.
     pub whole: bool,
-    /// Time to the first byte of the body.
+    /// Time until the first byte of the body arrived.
     pub first: Duration,
-    /// Time to the end.
+    /// Time until the end of the answer.
     pub total: Duration,
 }
 
-/// Asks for a completion and reads the whole answer.
+/// Sends a completion request and reads the answer to its end.
 ///
 /// # Errors
-/// When there is no connection, or it breaks before the head of the answer.
+/// When the connection fails, or breaks before the head of the answer.
 pub async fn ask(address: SocketAddr, ask: &Ask) -> Result<Answer, Error> {
     let begun = Instant::now();
     let mut request = client::request(Method::Post, address, "/v1/completions");
@@ -117,8 +117,8 @@
     });
     request.set_body(body.to_string());
     request.insert_header(CONTENT_TYPE, "application/json");
-    let connection = client::connect(address, PATIENCE).await?;
-    let mut response = connection.send(request, PATIENCE).await?;
+    let connection = client::connect(address, TIMEOUT).await?;
+    let mut response = connection.send(request, TIMEOUT).await?;
     let mut answer = Answer {
         status: response.status().into(),
         request_id: header(&response, "x-request-id").unwrap_or_default(),
@@ -167,7 +167,7 @@
     fn read_events(&mut self, text: &str) {
         for event in text
             .split("\n\n")
-            .filter_map(|event| event.trim().strip_prefix(EVENT))
+            .filter_map(|event| event.trim().strip_prefix(EVENT_PREFIX))
         {
             if event == DONE {
                 self.whole = true;
@@ -185,7 +185,7 @@
     }
 }
 
-/// A header of a response.
+/// The value of a response header, if present.
 fn header(response: &Response, name: &str) -> Option<String> {
     response
         .header(name)
--- a/cypressvane_standin/src/engine/mod.rs
+++ b/cypressvane_standin/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! A model engine's stand-in: continuous batching, cancelling, and a ledger of what it saw.
+//! A simulated model engine with continuous batching, cancellation and a ledger of what it received.
 //!
-//! Time passes in steps. A step prefills up to a chunk of prompt tokens, oldest request first, and
-//! decodes one token for each request whose prompt is done; it takes as long as the slower part.
+//! The engine works in steps. A step prefills up to a chunk of prompt tokens, oldest request first, and
+//! decodes one token for each request whose prompt is done. It lasts as long as the slower of the two.
 
 mod steps;
 mod text;
@@ -27,52 +27,55 @@
 
 pub use steps::Load;
 use steps::{Sequence, State};
-use text::{Breaks, Text, limit, prompt_text, streamed, tag, whole};
+use text::{
+    AnswerText, StreamFaults, max_answer_tokens, prompt_text, streamed_response, tag,
+    whole_response,
+};
 
-/// Answer tokens when the request sets no limit.
+/// Number of answer tokens when the request sets no limit.
 const ANSWER_TOKENS_DEFAULT: u32 = 16;
 /// The header that carries the request id.
 const REQUEST_ID: &str = "x-request-id";
-/// The header that marks a request that must run at most once.
+/// The header with the idempotency key of a request, which must run at most once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The header in which the engine names how many requests a second it takes.
+/// The response header that advertises how many requests a second the engine accepts.
 const LIMIT: &str = "cypressvane-limit";
-/// The header in which the engine says that it is leaving.
+/// The response header that announces that the engine is draining.
 const ENGINE_STATE: &str = "x-engine-state";
 
-/// How fast and how well the engine works.
+/// Speed, capacity and simulated faults of an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// Prompt tokens a second.
+    /// Prefill speed, in prompt tokens a second.
     pub prefill_rate: f64,
-    /// Prompt tokens of one step.
+    /// Maximum number of prompt tokens that one step prefills.
     pub chunk_tokens: u32,
-    /// Time of a decoding step with one request, in milliseconds; 0 decodes without pause.
+    /// Base time of a decoding step, in milliseconds, before the cost of each request; 0 decodes without pause.
     pub decode_ms: f64,
-    /// Most requests in a batch; others wait in the engine, first come first served.
+    /// Maximum number of requests in a batch; others wait in the engine in order of arrival.
     pub batch: usize,
-    /// Tokens of prompts and answers that the memory holds for running requests.
+    /// Number of prompt and answer tokens that the memory holds for running requests.
     pub memory_tokens: u64,
-    /// Blocks of 64 tokens of earlier prompts that are remembered; 0 remembers none.
+    /// Size of the prefix cache, in blocks of 64 tokens; 0 disables it.
     pub cache_blocks: usize,
-    /// How old a report of the load may be, in milliseconds.
+    /// Maximum age of a load report, in milliseconds.
     pub report_ms: u64,
-    /// Time before each answer's head, in milliseconds.
+    /// Delay before the work on each request starts, in milliseconds.
     pub delay_ms: u64,
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers.
     pub silent: bool,
-    /// Answers with this request id instead of the request's.
+    /// Request id to answer with, in place of the request's own.
     pub wrong_id: Option<String>,
-    /// Breaks a stream off after this many tokens.
+    /// Breaks a stream with an error after this many tokens.
     pub cut_after: Option<u32>,
-    /// Ends a stream after this many tokens as if it were whole, without its last event.
+    /// Closes a stream cleanly after this many tokens, but without its `[DONE]` event.
     pub end_after: Option<u32>,
-    /// Refuses orders whose number is lower than one it has seen; otherwise ignores numbers.
+    /// Refuses orders with a lower number than the highest one seen; if unset, order numbers are ignored.
     pub fencing: bool,
-    /// Refuses new requests because it is leaving.
+    /// Refuses new requests because the engine is draining.
     pub draining: bool,
-    /// Names in its answers that it takes so many requests a second.
+    /// Request rate limit, in requests a second, that answers advertise.
     pub limit: Option<f64>,
 }
 
@@ -98,24 +101,24 @@
     }
 }
 
-/// What the engine saw.
+/// Counters of the requests and orders that the engine received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// How often each request id came.
+    /// How often each request id was received.
     pub seen: BTreeMap<String, u64>,
-    /// The orders that it carried out.
+    /// The orders that the engine executed, in order.
     pub orders: Vec<Numbered>,
-    /// How often each idempotency key came.
+    /// How often each idempotency key was received.
     pub keys: BTreeMap<String, u64>,
-    /// Requests whose whole answer was made.
+    /// Requests whose answer was generated completely.
     pub whole: u64,
     /// Requests that were cancelled.
     pub cancelled: u64,
-    /// Prompt tokens worked on.
+    /// Prompt tokens prefilled.
     pub prompt_tokens: u64,
-    /// Prompt tokens worked on for requests that were cancelled.
+    /// Prompt tokens prefilled for requests that were cancelled.
     pub wasted_tokens: u64,
-    /// Answer tokens made.
+    /// Answer tokens generated.
     pub answer_tokens: u64,
 }
 
@@ -123,8 +126,9 @@
 struct Engine {
     model: String,
     state: Mutex<State>,
-    /// Wakes the steps when there is work.
-    work: Sender<()>,
+    /// Wakes the step loop when there is work.
+    wake_up: Sender<()>,
+    /// Number of completion requests so far, for the ids of those that come without one.
     answers: AtomicU64,
 }
 
@@ -141,16 +145,16 @@
 /// # Errors
 /// When the address cannot be bound.
 pub fn bind(address: SocketAddr, model: &str, settings: Settings) -> io::Result<Handle> {
-    let (work, woken) = async_channel::bounded(1);
+    let (wake_up, wake_ups) = async_channel::bounded(1);
     let state = State::new(settings);
     let engine = Arc::new(Engine {
         model: model.to_owned(),
         state: Mutex::new(state),
-        work,
+        wake_up,
         answers: AtomicU64::new(0),
     });
     let server = server::bind(address, Options::default(), Arc::clone(&engine))?;
-    let steps = runtime::spawn(run_steps(Arc::clone(&engine), woken));
+    let steps = runtime::spawn(run_steps(Arc::clone(&engine), wake_ups));
     Ok(Handle {
         engine,
         server,
@@ -159,28 +163,28 @@
 }
 
 impl Handle {
-    /// Where it answers.
+    /// The address that the engine listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// What it saw so far.
+    /// A copy of the ledger.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.engine.state().ledger.clone()
     }
 
-    /// Changes how it works from now on.
+    /// Replaces the settings.
     pub fn set(&self, settings: Settings) {
         self.engine.state().settings = settings;
     }
 }
 
-async fn run_steps(engine: Arc<Engine>, woken: Receiver<()>) {
+async fn run_steps(engine: Arc<Engine>, wake_ups: Receiver<()>) {
     loop {
         let Some(time) = engine.step() else {
-            if woken.recv().await.is_err() {
+            if wake_ups.recv().await.is_err() {
                 return;
             }
             continue;
@@ -202,8 +206,8 @@
         self.state().step()
     }
 
-    /// Takes a sequence in and gives the channel on which its tokens come.
-    fn enter(&self, prompt_tokens: u32, answer_tokens: u32, text: &str) -> Receiver<()> {
+    /// Adds a sequence and returns the channel on which its tokens arrive.
+    fn enqueue(&self, prompt_tokens: u32, answer_tokens: u32, text: &str) -> Receiver<()> {
         let (tokens, receiver) = async_channel::bounded(answer_tokens.max(1) as usize);
         let mut sequence = Sequence {
             prompt_left: prompt_tokens,
@@ -213,17 +217,17 @@
         };
         let mut state = self.state();
         let blocks = state.settings.cache_blocks;
-        let known = state.cache.take(text, blocks);
-        sequence.prompt_left = prompt_tokens.saturating_sub(known).max(1);
+        let cached = state.cache.insert_prompt(text, blocks);
+        sequence.prompt_left = prompt_tokens.saturating_sub(cached).max(1);
         state.sequences.push(sequence);
         drop(state);
-        // A full channel means that the steps are woken already.
-        let _ = self.work.try_send(());
+        // When the channel is full, a wake-up is already pending.
+        let _ = self.wake_up.try_send(());
         receiver
     }
 
-    /// Carries an order out, unless its number is too low for an engine that checks numbers.
-    fn order(&self, body: &[u8]) -> Response {
+    /// Executes an order, unless fencing is on and a higher number has been seen.
+    fn execute_order(&self, body: &[u8]) -> Response {
         let Ok(numbered) = serde_json::from_slice::<Numbered>(body) else {
             return answer::empty(StatusCode::BadRequest);
         };
@@ -248,12 +252,12 @@
         let Ok(prompt) = Prompt::parse(kind, &body) else {
             return answer::empty(StatusCode::BadRequest);
         };
-        let given = call
+        let given_id = call
             .request
             .header(REQUEST_ID)
             .map(|values| values.as_str().to_owned());
         let number = self.answers.fetch_add(1, Ordering::Relaxed);
-        let id = given.unwrap_or_else(|| format!("answer-{number}"));
+        let id = given_id.unwrap_or_else(|| format!("answer-{number}"));
         let settings = self.state().settings.clone();
         *self.state().ledger.seen.entry(id.clone()).or_default() += 1;
         if let Some(key) = call.request.header(IDEMPOTENCY_KEY) {
@@ -269,14 +273,16 @@
             response.insert_header(ENGINE_STATE, "draining");
             return response;
         }
-        let named = settings.limit;
+        let rate_limit = settings.limit;
         if settings.silent {
             return std::future::pending().await;
         }
         Timer::after(Duration::from_millis(settings.delay_ms)).await;
-        let answer_tokens = limit(&body).unwrap_or(ANSWER_TOKENS_DEFAULT).max(1);
-        let tokens = self.enter(prompt.prompt_tokens, answer_tokens, &prompt_text(&body));
-        let text = Text {
+        let answer_tokens = max_answer_tokens(&body)
+            .unwrap_or(ANSWER_TOKENS_DEFAULT)
+            .max(1);
+        let tokens = self.enqueue(prompt.prompt_tokens, answer_tokens, &prompt_text(&body));
+        let text = AnswerText {
             kind,
             id: id.clone(),
             model: self.model.clone(),
@@ -284,20 +290,20 @@
         };
         let shown_id = settings.wrong_id.unwrap_or(id);
         let mut response = if prompt.stream {
-            streamed(
+            streamed_response(
                 text,
                 tokens,
                 answer_tokens,
-                Breaks {
-                    cut: settings.cut_after,
-                    end: settings.end_after,
+                StreamFaults {
+                    cut_after: settings.cut_after,
+                    end_after: settings.end_after,
                 },
             )
         } else {
-            whole(&text, &tokens, answer_tokens).await
+            whole_response(&text, &tokens, answer_tokens).await
         };
         response.insert_header(REQUEST_ID, shown_id);
-        if let Some(limit) = named {
+        if let Some(limit) = rate_limit {
             response.insert_header(LIMIT, limit.to_string());
         }
         response
@@ -323,7 +329,7 @@
                 answer::json(StatusCode::Ok, &report)
             }
             (Method::Post, "/orders") => match call.body().await {
-                Ok(body) => self.order(&body),
+                Ok(body) => self.execute_order(&body),
                 Err(reason) => answer::rejected(&reason),
             },
             (Method::Get, "/load") => {
--- a/cypressvane_standin/src/engine/steps.rs
+++ b/cypressvane_standin/src/engine/steps.rs
@@ -1,4 +1,4 @@
-//! How time passes in an engine.
+//! The step loop of an engine: which requests run, and how long a step takes.
 
 use std::time::Duration;
 
@@ -10,42 +10,46 @@
 use super::{Ledger, Settings};
 use crate::cache::Cache;
 
-/// Added to a decoding step for each request in the batch, as a share of the step.
+/// Time added to a decoding step for each token that it decodes, as a share of its base time.
 const BATCH_COST: f64 = 0.02;
 
-/// A request in the engine.
+/// A request that runs or waits in the engine.
 #[derive(Debug)]
 pub(super) struct Sequence {
+    /// Prompt tokens still to prefill.
     pub(super) prompt_left: u32,
+    /// Prompt tokens prefilled so far.
     pub(super) prompt_done: u32,
+    /// Answer tokens still to decode.
     pub(super) answer_left: u32,
+    /// Receives one message for each decoded token.
     pub(super) tokens: Sender<()>,
 }
 
-/// What the engine works on.
+/// The state of an engine.
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) settings: Settings,
     pub(super) ledger: Ledger,
     pub(super) sequences: Vec<Sequence>,
     pub(super) cache: Cache,
-    /// What orders made of it.
+    /// The result of the orders executed so far.
     pub(super) orders: Report,
     report: Load,
-    reported: Option<Instant>,
+    reported_at: Option<Instant>,
 }
 
-/// What an engine reports of its load.
+/// The load that an engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that run or wait in it.
+    /// Requests that run or wait in the engine.
     pub requests: u64,
-    /// Prompt tokens that it has still to work on.
+    /// Prompt tokens still to prefill.
     pub prompt_tokens: u64,
 }
 
 impl State {
-    /// An engine without work.
+    /// The state of an idle engine.
     pub(super) fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -53,7 +57,7 @@
         }
     }
 
-    /// Prefills and decodes one step; gives the time that it takes, or `None` without work.
+    /// Runs one step; returns its duration, or `None` when there is no request.
     pub(super) fn step(&mut self) -> Option<Duration> {
         let settings = &self.settings;
         let batch = self.batch();
@@ -71,7 +75,7 @@
                 self.ledger.prompt_tokens += u64::from(count);
                 continue;
             }
-            // A full or closed channel: the reader is slow or gone, and the token is lost with it.
+            // The channel has room for the whole answer, so this fails only when the reader is gone.
             if sequence.tokens.try_send(()).is_ok() {
                 sequence.answer_left = sequence.answer_left.saturating_sub(1);
                 self.ledger.answer_tokens += 1;
@@ -82,11 +86,11 @@
         let prefill = f64::from(prefilled) / settings.prefill_rate;
         let decode = settings.decode_ms / 1e3 * (1.0 + BATCH_COST * f64::from(decoded));
         let decode = if decoded > 0 { decode } else { 0.0 };
-        self.leave();
+        self.remove_ended();
         Some(Duration::from_secs_f64(prefill.max(decode)))
     }
 
-    /// Number of requests that run: as many as batch and memory hold, and at least one.
+    /// Number of running requests: as many as fit into batch and memory, and at least one if there is any.
     fn batch(&self) -> usize {
         let mut tokens = 0;
         let fits = |sequence: &&Sequence| {
@@ -102,11 +106,11 @@
         running.count().max(self.sequences.len().min(1))
     }
 
-    /// The load as it was reported last.
+    /// The last load report, renewed when it is older than `report_ms`.
     pub(super) fn report(&mut self) -> Load {
-        let age = self.reported.map(|at| at.elapsed());
-        let lag = Duration::from_millis(self.settings.report_ms);
-        if age.is_none_or(|age| age >= lag) {
+        let age = self.reported_at.map(|at| at.elapsed());
+        let max_age = Duration::from_millis(self.settings.report_ms);
+        if age.is_none_or(|age| age >= max_age) {
             let prompts = self
                 .sequences
                 .iter()
@@ -115,13 +119,13 @@
                 requests: self.sequences.len() as u64,
                 prompt_tokens: prompts.sum(),
             };
-            self.reported = Some(Instant::now());
+            self.reported_at = Some(Instant::now());
         }
         self.report
     }
 
-    /// Lets sequences go that are done or whose reader is gone.
-    fn leave(&mut self) {
+    /// Removes the sequences that are done or whose reader is gone.
+    fn remove_ended(&mut self) {
         let ledger = &mut self.ledger;
         self.sequences.retain(|sequence| {
             let done = sequence.prompt_left == 0 && sequence.answer_left == 0;
--- a/cypressvane_standin/src/engine/text.rs
+++ b/cypressvane_standin/src/engine/text.rs
@@ -1,4 +1,4 @@
-//! What an engine answers.
+//! The contents and form of the answers of an engine.
 
 use std::io;
 
@@ -11,21 +11,22 @@
 
 use crate::answer;
 
-/// How an answer is worded: the last word of the prompt with the number of the token.
+/// Generates an answer, in which each token is the tag with the index of the token.
 #[derive(Debug)]
-pub(super) struct Text {
+pub(super) struct AnswerText {
     pub(super) kind: Completion,
     pub(super) id: String,
     pub(super) model: String,
+    /// The last word of the prompt.
     pub(super) tag: String,
 }
 
-impl Text {
+impl AnswerText {
     fn token(&self, index: u32) -> String {
         format!("{}-{index} ", self.tag)
     }
 
-    /// The JSON of a chunk or, with `whole`, of the whole answer.
+    /// The JSON of one chunk or, with `whole`, of the whole answer.
     fn json(&self, content: &str, finish: Option<&str>, whole: bool) -> Value {
         let choice = match (self.kind, whole) {
             (Completion::Completion, _) => {
@@ -51,8 +52,12 @@
     }
 }
 
-/// The whole answer, once all its tokens have come.
-pub(super) async fn whole(text: &Text, tokens: &Receiver<()>, count: u32) -> Response {
+/// Waits for all tokens and returns the answer in one piece.
+pub(super) async fn whole_response(
+    text: &AnswerText,
+    tokens: &Receiver<()>,
+    count: u32,
+) -> Response {
     let mut content = String::new();
     for index in 0..count {
         if tokens.recv().await.is_err() {
@@ -63,21 +68,28 @@
     answer::json(StatusCode::Ok, &text.json(&content, Some("stop"), true))
 }
 
-/// Where a stream breaks off.
+/// Where a stream ends early, counted in tokens.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Breaks {
-    pub(super) cut: Option<u32>,
-    pub(super) end: Option<u32>,
+pub(super) struct StreamFaults {
+    /// Fails with a connection reset.
+    pub(super) cut_after: Option<u32>,
+    /// Closes cleanly, without the `[DONE]` event.
+    pub(super) end_after: Option<u32>,
 }
 
-/// An answer whose tokens are sent as they come.
-pub(super) fn streamed(text: Text, tokens: Receiver<()>, count: u32, breaks: Breaks) -> Response {
+/// Returns an answer whose tokens are sent as server-sent events as they arrive.
+pub(super) fn streamed_response(
+    text: AnswerText,
+    tokens: Receiver<()>,
+    count: u32,
+    faults: StreamFaults,
+) -> Response {
     let events = stream::unfold((text, tokens, 0), move |(text, tokens, index)| async move {
-        if breaks.cut == Some(index) {
+        if faults.cut_after == Some(index) {
             let cut = io::Error::from(io::ErrorKind::ConnectionReset);
             return Some((Err(cut), (text, tokens, u32::MAX)));
         }
-        if breaks.end == Some(index) {
+        if faults.end_after == Some(index) {
             return None;
         }
         if index > count {
@@ -98,8 +110,8 @@
     response
 }
 
-/// The limit of answer tokens in a body.
-pub(super) fn limit(body: &[u8]) -> Option<u32> {
+/// The maximum number of answer tokens that a request body sets.
+pub(super) fn max_answer_tokens(body: &[u8]) -> Option<u32> {
     let body: Value = serde_json::from_slice(body).ok()?;
     let limit = body
         .get("max_completion_tokens")
@@ -107,7 +119,7 @@
     limit.as_u64().and_then(|limit| u32::try_from(limit).ok())
 }
 
-/// The last word of the prompt, or of the last message.
+/// The last word of the prompt or, in a chat, of the last message.
 pub(super) fn tag(body: &[u8]) -> String {
     let text = prompt_text(body);
     text.split_whitespace()
@@ -116,7 +128,7 @@
         .to_owned()
 }
 
-/// The prompt, or the last message.
+/// The prompt or, in a chat, the last message.
 pub(super) fn prompt_text(body: &[u8]) -> String {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     let message = body["messages"]
--- a/cypressvane_standin/src/fleet.rs
+++ b/cypressvane_standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet of processes on loopback: platform, backend servers and hosts.
+//! A fleet of processes on loopback: a platform, backend servers and hosts.
 
 use std::env;
 use std::fs;
@@ -23,53 +23,53 @@
 use crate::engine;
 use crate::process::Process;
 
-/// The key of the operator in a test fleet.
+/// The key of the operator of a test fleet.
 pub const OPERATOR_KEY: &str = "operator-key";
 /// The region of a test fleet.
 pub const REGION: &str = "region";
-/// The data centres of a test fleet, taken in turn.
+/// The data centres of a test fleet, assigned to hosts and to backend servers in turn.
 pub const DATA_CENTRES: [&str; 4] = ["hut-north", "hut-south", "saleyard", "depot-east"];
-/// The key that the hosts of a test fleet share.
+/// The peer key that the hosts of a test fleet share.
 const PEER_KEY: &str = "a-peer-key-for-tests";
-/// Longest time that a condition is waited for.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// How often a condition is looked at.
+/// Timeout of calls and of waits for a condition.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is polled.
 const POLL: Duration = Duration::from_millis(20);
-/// Largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 const ANSWER_BYTES_MAX: u64 = 64 << 20;
 
-/// A fleet of processes; dropping it ends them all.
+/// A fleet of processes, which are killed on drop.
 #[derive(Debug)]
 pub struct Fleet {
     /// The platform.
     pub platform: Process,
-    /// Where hosts meet the platform; a proxy may stand before it.
+    /// The address at which hosts reach the platform; can be set to that of a proxy.
     pub platform_address: SocketAddr,
-    /// The hosts by index; `None` where one was taken out.
+    /// The hosts by index; `None` where one was removed.
     pub hosts: Vec<Option<Process>>,
     /// The backend servers by index.
     pub backends: Vec<Process>,
-    /// Worker threads of the hosts that are started from now on.
+    /// Worker threads of hosts that are started later.
     pub threads: usize,
-    /// Time between two reads of the configuration by hosts that are started from now on.
+    /// Poll interval of the configuration on hosts that are started later, in milliseconds.
     pub poll_ms: u64,
-    /// The host list as the platform has it.
+    /// The host list; a change takes effect with [`Fleet::publish`].
     pub entries: Vec<Entry>,
-    settings: Vec<Settings>,
+    settings_files: Vec<SettingsFile>,
 }
 
-/// A settings file that is removed in the end.
+/// A settings file that is deleted on drop.
 #[derive(Debug)]
-struct Settings(PathBuf);
+struct SettingsFile(PathBuf);
 
-impl Drop for Settings {
+impl Drop for SettingsFile {
     fn drop(&mut self) {
-        // A file in the temporary folder that stays does no harm.
+        // A file left in the temporary folder is harmless.
         let _ = fs::remove_file(&self.0);
     }
 }
 
-impl Settings {
+impl SettingsFile {
     fn write(text: &str) -> io::Result<Self> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -81,10 +81,10 @@
 }
 
 impl Fleet {
-    /// Starts a platform with an empty table and host list.
+    /// Starts a platform with an empty table and an empty host list.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When the platform does not start.
     pub fn spawn() -> io::Result<Self> {
         let platform = Process::spawn("standin", &["platform"])?;
         let platform_address = platform.address("address");
@@ -96,14 +96,14 @@
             threads: 1,
             poll_ms: 200,
             entries: Vec::new(),
-            settings: Vec::new(),
+            settings_files: Vec::new(),
         })
     }
 
-    /// Starts a model engine and gives its index.
+    /// Starts a model engine and returns its index.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When a process does not start, or the platform refuses the host list.
     pub async fn add_engine(
         &mut self,
         service: &str,
@@ -114,10 +114,10 @@
         self.add_backend(service, process).await
     }
 
-    /// Starts a plain service and gives its index.
+    /// Starts a plain service and returns its index.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When a process does not start, or the platform refuses the host list.
     pub async fn add_plain(&mut self, service: &str) -> io::Result<usize> {
         let process = Process::spawn("standin", &["plain"])?;
         self.add_backend(service, process).await
@@ -143,10 +143,10 @@
         Ok(index)
     }
 
-    /// Starts a host and gives its index; `more` is added to its settings.
+    /// Starts a host and returns its index; `more` is appended to its settings file.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When a process does not start, or the platform refuses the host list.
     pub async fn add_host(&mut self, more: &str) -> io::Result<usize> {
         let index = self.hosts.len();
         self.hosts.push(None);
@@ -154,14 +154,15 @@
         Ok(index)
     }
 
-    /// Starts the host of an index anew, after it was taken out.
+    /// Starts the host `index` with a new process, after the last one was removed.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When its settings file cannot be written, the process does not start, or the platform refuses the
+    /// host list.
     pub async fn start_host(&mut self, index: usize, more: &str) -> io::Result<()> {
         let name = host_name(index);
         let data_centre = DATA_CENTRES[index % DATA_CENTRES.len()];
-        let settings = Settings::write(&format!(
+        let settings = SettingsFile::write(&format!(
             "[host]\nname = \"{name}\"\ndata_centre = \"{data_centre}\"\nregion = \"{REGION}\"\n\
              peer_key = \"{PEER_KEY}\"\nthreads = {threads}\nbootstrap_key_sha256 = \"{}\"\n\
              [listeners]\ncallers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\n\
@@ -189,34 +190,34 @@
             started_ms: None,
         });
         self.hosts[index] = Some(process);
-        self.settings.push(settings);
+        self.settings_files.push(settings);
         self.publish().await
     }
 
-    /// Gives the host list to the platform.
+    /// Sends the host list to the platform.
     ///
     /// # Errors
-    /// When the platform does not take it.
+    /// When the platform does not accept it.
     pub async fn publish(&self) -> io::Result<()> {
-        self.put_platform("/hosts", &self.entries).await
+        self.put_to_platform("/hosts", &self.entries).await
     }
 
-    /// Orders troubles of the platform.
+    /// Sets the faults that the platform simulates.
     ///
     /// # Errors
-    /// When the platform does not take them.
+    /// When the platform does not accept them.
     pub async fn set_fault(&self, fault: &crate::platform::Fault) -> io::Result<()> {
-        self.put_platform("/fault", fault).await
+        self.put_to_platform("/fault", fault).await
     }
 
-    async fn put_platform<T: Serialize>(&self, path: &str, value: &T) -> io::Result<()> {
+    async fn put_to_platform<T: Serialize>(&self, path: &str, value: &T) -> io::Result<()> {
         put(self.platform.address("address"), path, value).await
     }
 
-    /// Changes how an engine works.
+    /// Replaces the settings of an engine.
     ///
     /// # Errors
-    /// When the engine does not take it.
+    /// When the engine does not accept them.
     pub async fn set_engine(&self, index: usize, settings: &engine::Settings) -> io::Result<()> {
         put(
             self.backends[index].address("address"),
@@ -226,7 +227,7 @@
         .await
     }
 
-    /// What an engine saw.
+    /// Reads the ledger of an engine.
     ///
     /// # Errors
     /// When the engine does not answer.
@@ -237,33 +238,31 @@
     /// The process of a host.
     ///
     /// # Panics
-    /// When it was taken out.
+    /// When the host was removed.
     #[must_use]
     pub fn host(&self, index: usize) -> &Process {
-        self.hosts[index]
-            .as_ref()
-            .expect("the host was not taken out")
+        self.hosts[index].as_ref().expect("the host is running")
     }
 
-    /// Where a host answers callers.
+    /// The address at which a host serves callers.
     #[must_use]
     pub fn callers(&self, index: usize) -> SocketAddr {
         self.host(index).address("callers")
     }
 
-    /// Where a host answers operators.
+    /// The address at which a host serves operators.
     #[must_use]
     pub fn operators(&self, index: usize) -> SocketAddr {
         self.host(index).address("operators")
     }
 
-    /// Where a host's peers listener answers.
+    /// The address at which a host serves other hosts.
     #[must_use]
     pub fn peers(&self, index: usize) -> SocketAddr {
         self.host(index).address("peers")
     }
 
-    /// The indexes of the hosts that were not taken out.
+    /// The indexes of the hosts that were not removed.
     pub fn running(&self) -> impl Iterator<Item = usize> + '_ {
         let hosts = self.hosts.iter().enumerate();
         hosts
@@ -271,15 +270,17 @@
             .map(|(index, _)| index)
     }
 
-    /// Submits a configuration at a host and waits until every running host is ready with it.
+    /// Submits a configuration at a host and waits until it is in force on every running host.
+    ///
+    /// Returns its version.
     ///
     /// # Errors
-    /// When it is not accepted or not in force within a generous time.
+    /// When it is not accepted, or not in force within `TIMEOUT`.
     pub async fn submit(&self, index: usize, configuration: &str) -> io::Result<u64> {
         let mut request = client::request(Method::Post, self.operators(index), "/v1/config");
         request.set_body(configuration.to_owned());
         let record: cypressvane::manifest::Record =
-            send(self.operators(index), signed(request)).await?;
+            send(self.operators(index), authorized(request)).await?;
         self.in_force(record.version).await?;
         Ok(record.version)
     }
@@ -287,7 +288,7 @@
     /// Waits until every running host is ready and has at least this version in force.
     ///
     /// # Errors
-    /// When that takes longer than a generous time.
+    /// When that takes longer than `TIMEOUT`.
     pub async fn in_force(&self, version: u64) -> io::Result<()> {
         for index in self.running() {
             self.until("the version is in force", async || {
@@ -302,7 +303,7 @@
     /// Waits until every running host sees every other as live.
     ///
     /// # Errors
-    /// When that takes longer than a generous time.
+    /// When that takes longer than `TIMEOUT`.
     pub async fn linked(&self) -> io::Result<()> {
         let others = self.running().count() - 1;
         for index in self.running() {
@@ -321,12 +322,12 @@
         Ok(())
     }
 
-    /// Waits for a condition.
+    /// Polls until a condition is met; `what` describes it in the error.
     ///
     /// # Errors
-    /// When it does not come within a generous time.
+    /// When the condition is not met within `TIMEOUT`.
     pub async fn until(&self, what: &str, condition: impl AsyncFn() -> bool) -> io::Result<()> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !condition().await {
             if Instant::now() > end {
                 return Err(io::Error::new(
@@ -339,7 +340,7 @@
         Ok(())
     }
 
-    /// The state of a host in short.
+    /// Reads the summary of the state of a host.
     ///
     /// # Errors
     /// When it does not answer.
@@ -347,12 +348,12 @@
         let address = self.operators(index);
         send(
             address,
-            signed(client::request(Method::Get, address, "/v1/state")),
+            authorized(client::request(Method::Get, address, "/v1/state")),
         )
         .await
     }
 
-    /// The state dump of a host.
+    /// Reads the state dump of a host.
     ///
     /// # Errors
     /// When it does not answer.
@@ -360,19 +361,19 @@
         let address = self.operators(index);
         send(
             address,
-            signed(client::request(Method::Get, address, "/dump")),
+            authorized(client::request(Method::Get, address, "/dump")),
         )
         .await
     }
 
-    /// The sum of a metric of a host over all its labels.
+    /// Sums the values of the metrics of a host whose name begins with `name`, over all labels.
     ///
     /// # Errors
     /// When the host does not answer.
     pub async fn metric(&self, index: usize, name: &str) -> io::Result<f64> {
         let address = self.operators(index);
         let request = client::request(Method::Get, address, "/metrics");
-        let reply = client::call(address, request, ANSWER_BYTES_MAX, PATIENCE).await;
+        let reply = client::call(address, request, ANSWER_BYTES_MAX, TIMEOUT).await;
         let body = reply.map_err(io::Error::other)?.body;
         let text = String::from_utf8_lossy(&body);
         let lines = text.lines().filter(|line| line.starts_with(name));
@@ -380,7 +381,7 @@
         Ok(values.sum())
     }
 
-    /// What was asked of the platform.
+    /// Reads the counters of the calls to the platform.
     ///
     /// # Errors
     /// When it does not answer.
@@ -389,21 +390,21 @@
     }
 }
 
-/// The name of the host of an index.
+/// The name of the host `index`.
 #[must_use]
 pub fn host_name(index: usize) -> String {
     format!("host-{index}")
 }
 
-fn signed(mut request: Request) -> Request {
+fn authorized(mut request: Request) -> Request {
     request.insert_header(AUTHORIZATION, format!("Bearer {OPERATOR_KEY}"));
     request
 }
 
-/// Reads JSON from a path.
+/// Sends a GET request and parses the JSON answer.
 ///
 /// # Errors
-/// When there is no answer, or not the one meant.
+/// When there is no successful answer, or it does not parse.
 pub async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> io::Result<T> {
     send(address, client::request(Method::Get, address, path)).await
 }
@@ -411,7 +412,7 @@
 async fn put<T: Serialize>(address: SocketAddr, path: &str, value: &T) -> io::Result<()> {
     let mut request = client::request(Method::Put, address, path);
     request.set_body(serde_json::to_vec(value)?);
-    let reply = client::call(address, request, ANSWER_BYTES_MAX, PATIENCE).await;
+    let reply = client::call(address, request, ANSWER_BYTES_MAX, TIMEOUT).await;
     let reply = reply.map_err(io::Error::other)?;
     if reply.is_success() {
         return Ok(());
@@ -423,7 +424,7 @@
 }
 
 async fn send<T: DeserializeOwned>(address: SocketAddr, request: Request) -> io::Result<T> {
-    let reply = client::call(address, request, ANSWER_BYTES_MAX, PATIENCE).await;
+    let reply = client::call(address, request, ANSWER_BYTES_MAX, TIMEOUT).await;
     let reply = reply.map_err(io::Error::other)?;
     if !reply.is_success() {
         let text = String::from_utf8_lossy(&reply.body);
--- a/cypressvane_standin/src/lib.rs
+++ b/cypressvane_standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for what cypressvane meets, and what its tests and measurements need.
+//! Test doubles for the systems around cypressvane, and the harness of its tests and measurements.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
--- a/cypressvane_standin/src/plain.rs
+++ b/cypressvane_standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in: echoes what it was asked and keeps a ledger.
+//! A plain HTTP service that echoes requests and counts them by request id.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,21 +16,21 @@
 
 /// The header that carries the request id.
 const REQUEST_ID: &str = "x-request-id";
-/// The header that asks for a status of the caller's choice.
+/// The request header that sets the status of the answer.
 const WANTED_STATUS: &str = "x-wanted-status";
 
-/// What a plain service answers.
+/// The answer of a plain service: the request as it was received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The method that came.
+    /// The method.
     pub method: String,
-    /// The path that came.
+    /// The path.
     pub path: String,
-    /// The query that came.
+    /// The query; empty if there was none.
     pub query: String,
-    /// The body that came.
+    /// The body; bytes that are not UTF-8 are replaced.
     pub body: String,
-    /// The headers that came.
+    /// The headers.
     pub headers: BTreeMap<String, String>,
 }
 
@@ -47,7 +47,7 @@
     server: server::Handle,
 }
 
-/// Starts a plain service that takes `delay` for each call.
+/// Starts a plain service that delays each answer by `delay`.
 ///
 /// # Errors
 /// When the address cannot be bound.
@@ -61,13 +61,13 @@
 }
 
 impl Handle {
-    /// Where it answers.
+    /// The address that the service listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// How often each request id came.
+    /// How often each request id was received.
     #[must_use]
     pub fn seen(&self) -> BTreeMap<String, u64> {
         self.plain.seen().clone()
--- a/cypressvane_standin/src/platform.rs
+++ b/cypressvane_standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: the table service and the host list, in memory, with outages on order.
+//! An in-memory platform with a table service and a host list, which can simulate outages.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,50 +16,50 @@
 
 use crate::answer;
 
-/// How long a call hangs while the platform is down.
-const DOWN_HANG: Duration = Duration::from_secs(3600);
+/// How long a call hangs under [`Trouble::Hangs`].
+const HANG_TIME: Duration = Duration::from_secs(3600);
 
-/// The trouble of one service.
+/// The outage of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trouble {
-    /// It answers.
+    /// The service answers.
     #[default]
     None,
-    /// It answers 503.
+    /// The service answers 503.
     Fails,
-    /// It takes calls and never answers.
+    /// The service accepts calls and does not answer.
     Hangs,
 }
 
-/// Troubles on order.
+/// The faults that the platform simulates.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Of the table service.
+    /// Outage of the table service.
     pub table: Trouble,
-    /// Of the host list.
+    /// Outage of the host list.
     pub hosts: Trouble,
-    /// Each call takes this much longer, in milliseconds.
+    /// Delay added to each call, in milliseconds.
     pub delay_ms: u64,
-    /// This many writes take effect and then answer 503.
+    /// Number of writes that take effect but are answered with 503.
     pub lose_write_answers: u64,
-    /// A copy of the rows is kept from now on for stale reads.
+    /// Takes a new copy of the rows for stale reads.
     pub keep_copy: bool,
-    /// Reads are answered from the copy that was kept last, or made now if there is none.
+    /// Answers reads from the last copy of the rows; setting the first fault always takes one.
     pub stale_reads: bool,
 }
 
-/// What was asked of the platform since it started.
+/// Counters of the calls to the platform since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Reads of the table.
     pub reads: u64,
-    /// Writes to the table, refused ones included.
+    /// Writes to the table, including refused ones.
     pub writes: u64,
     /// Reads of the host list.
     pub lists: u64,
-    /// Bytes of the values that reads gave.
+    /// Bytes of the values that reads returned.
     pub read_bytes: u64,
 }
 
@@ -68,13 +68,12 @@
     rows: BTreeMap<String, Row>,
     copy: Option<BTreeMap<String, Row>>,
     hosts: Vec<Entry>,
-    /// Grows with each change of the host list.
-    hosts_tag: u64,
+    /// Incremented with each change of the host list; sent as its `ETag`.
+    hosts_etag: u64,
     fault: Fault,
     stats: Stats,
 }
 
-/// Answers for the platform.
 #[derive(Debug, Default)]
 struct Platform {
     state: Mutex<State>,
@@ -113,7 +112,7 @@
 }
 
 impl Handle {
-    /// Where it answers.
+    /// The address that the platform listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
@@ -124,19 +123,19 @@
         self.platform.set_hosts(hosts);
     }
 
-    /// Writes a row, whatever stands there.
+    /// Writes a row regardless of its current revision.
     pub fn insert(&self, key: String, value: String) {
         let mut state = self.platform.state();
         let revision = state.rows.get(&key).map_or(1, |row| row.revision + 1);
         state.rows.insert(key, Row { revision, value });
     }
 
-    /// Orders troubles.
+    /// Sets the faults to simulate.
     pub fn set_fault(&self, fault: Fault) {
         self.platform.set_fault(fault);
     }
 
-    /// What was asked so far.
+    /// The counters of the calls so far.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.platform.state().stats
@@ -204,7 +203,7 @@
     fn set_hosts(&self, hosts: Vec<Entry>) {
         let mut state = self.state();
         state.hosts = hosts;
-        state.hosts_tag += 1;
+        state.hosts_etag += 1;
     }
 
     fn list(&self, region: Option<&str>, known: Option<&str>) -> Response {
@@ -213,7 +212,7 @@
         if state.fault.hosts == Trouble::Fails {
             return answer::empty(StatusCode::ServiceUnavailable);
         }
-        let tag = format!("\"{}\"", state.hosts_tag);
+        let tag = format!("\"{}\"", state.hosts_etag);
         if known == Some(tag.as_str()) {
             return answer::empty(StatusCode::NotModified);
         }
@@ -242,7 +241,7 @@
             _ => Trouble::None,
         };
         if trouble == Trouble::Hangs {
-            Timer::after(DOWN_HANG).await;
+            Timer::after(HANG_TIME).await;
         }
         match (method, key, path.as_str()) {
             (Method::Get, Some(key), _) => self.get(key),
--- a/cypressvane_standin/src/process.rs
+++ b/cypressvane_standin/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes under test: started by path, stopped by id, frozen and resumed.
+//! Child processes under test: spawned, signalled, frozen and resumed.
 
 use std::env;
 use std::ffi::OsStr;
@@ -13,30 +13,30 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-/// Set to see what the processes under test log.
+/// Environment variable that makes the processes under test print their logs.
 const LOGS_VARIABLE: &str = "CYPRESSVANE_TEST_LOGS";
-/// The field that tells a log line from what a process says of itself.
-const LOG_MESSAGE: &str = "msg";
-/// How often a process that should end is looked at.
+/// JSON field that only log lines have, not the line in which a process announces its addresses.
+const LOG_MESSAGE_FIELD: &str = "msg";
+/// Interval at which [`Process::wait`] polls for the exit of a process.
 const EXIT_POLL: Duration = Duration::from_millis(10);
 
-/// A running process; dropping it kills it.
+/// A running process that is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     ready: Value,
 }
 
-/// The program of this workspace with that name, beside the running one.
+/// Path of the workspace program `name`, in the target folder of the running program.
 ///
 /// # Panics
-/// When it was not built: `cargo test --workspace` builds all of them.
+/// When the program was not built; `cargo test --workspace` builds all programs.
 #[must_use]
 pub fn program(name: &str) -> PathBuf {
     let own = env::current_exe().expect("a running program has a path");
-    let folder = own.parent().expect("a program stands in a folder");
+    let folder = own.parent().expect("a program has a parent folder");
     let folder = if folder.ends_with("deps") || folder.ends_with("examples") {
-        folder.parent().expect("deps stands in a folder")
+        folder.parent().expect("deps has a parent folder")
     } else {
         folder
     };
@@ -50,38 +50,40 @@
 }
 
 impl Process {
-    /// Starts a program and reads the line of JSON in which it says where it listens; log lines may
-    /// stand before and after it.
+    /// Starts a program and reads the line of JSON that announces its addresses.
+    ///
+    /// Log lines may precede and follow that line.
     ///
     /// # Errors
-    /// When it does not start or says nothing.
+    /// When the program does not start, or ends its output without announcing addresses.
     ///
     /// # Panics
-    /// When a pipe that was asked for is not there, which is a fault of the program.
+    /// When standard output was not piped, which would be a bug here.
     pub fn spawn<S: AsRef<OsStr>>(name: &str, arguments: &[S]) -> io::Result<Self> {
-        let shows_logs = env::var_os(LOGS_VARIABLE).is_some();
+        let show_logs = env::var_os(LOGS_VARIABLE).is_some();
         let mut child = Command::new(program(name))
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
-            .stderr(if shows_logs {
+            .stderr(if show_logs {
                 Stdio::inherit()
             } else {
                 Stdio::null()
             })
             .spawn()?;
-        let mut lines = BufReader::new(child.stdout.take().expect("it was piped")).lines();
+        let mut lines =
+            BufReader::new(child.stdout.take().expect("standard output is piped")).lines();
         let ready = lines.by_ref().map_while(Result::ok).find_map(|line| {
-            let said: Value = serde_json::from_str(&line).ok()?;
-            said.get(LOG_MESSAGE).is_none().then_some(said)
+            let value: Value = serde_json::from_str(&line).ok()?;
+            value.get(LOG_MESSAGE_FIELD).is_none().then_some(value)
         });
         let Some(ready) = ready else {
             let _ = child.kill();
             let _ = child.wait();
-            let message = format!("{name} does not say where it listens");
+            let message = format!("{name} printed no listen address");
             return Err(io::Error::new(io::ErrorKind::InvalidData, message));
         };
-        if shows_logs {
+        if show_logs {
             thread::spawn(move || {
                 for line in lines.map_while(Result::ok) {
                     eprintln!("{line}");
@@ -91,10 +93,10 @@
         Ok(Self { child, ready })
     }
 
-    /// The address that it said under `name`.
+    /// The address that the process announced as `name`.
     ///
     /// # Panics
-    /// When it said none.
+    /// When the process announced no such address.
     #[must_use]
     pub fn address(&self, name: &str) -> SocketAddr {
         let text = self.ready[name].as_str().unwrap_or_default();
@@ -102,7 +104,7 @@
             .unwrap_or_else(|_| panic!("no address {name:?} in {}", self.ready))
     }
 
-    /// Its process id.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
@@ -111,38 +113,38 @@
     fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(id) = id {
-            // A process that has ended already needs no signal.
+            // The signal fails when the process has already ended, which is fine.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Asks it to end.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Tells it that its settings may have changed.
+    /// Sends SIGHUP, on which a host reads its settings again.
     pub fn hang_up(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Stops it where it is.
+    /// Suspends the process with SIGSTOP.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Ends it without warning.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its end; `None` when it has not ended within `limit`.
+    /// Waits for the exit of the process; `None` if it is still running after `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
         let end = Instant::now() + limit;
         while Instant::now() < end {
--- a/cypressvane_standin/src/proxy.rs
+++ b/cypressvane_standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy between two processes that injects faults on order.
+//! A TCP proxy that injects faults into the connections between two processes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,35 +12,35 @@
 use smol::net::{TcpListener, TcpStream};
 use smol::{Task, Timer};
 
-/// Bytes moved at once.
-const MOVE_BYTES: usize = 16 * 1024;
-/// How often a frozen direction looks whether it may go on.
+/// Size of the copy buffer, in bytes.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Interval at which a frozen direction checks whether it may resume.
 const FREEZE_POLL: Duration = Duration::from_millis(5);
 
-/// What happens to the bytes of one direction.
+/// How the proxy treats the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Way {
-    /// They pass.
+    /// Forwards them unchanged.
     #[default]
     Pass,
-    /// They are held until this changes.
+    /// Holds them until the fault changes.
     Freeze,
-    /// Each piece is held for this long.
+    /// Delays each chunk that is read by this time.
     Delay(Duration),
-    /// The connection is reset with the next bytes.
+    /// Resets the connection when the next bytes arrive.
     Reset,
-    /// The connection is cut after this many more bytes of a connection.
+    /// Closes the connection once it has forwarded this many bytes in this direction, counted from its start.
     CutAfter(u64),
 }
 
-/// What happens to connections.
+/// How the proxy treats connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// New connections are closed at once.
+    /// Closes new connections immediately.
     pub refuse: bool,
-    /// From the one who connects to the target.
+    /// Treatment of the bytes from the client to the target.
     pub forth: Way,
-    /// From the target back.
+    /// Treatment of the bytes from the target to the client.
     pub back: Way,
 }
 
@@ -49,15 +49,15 @@
     target: Mutex<SocketAddr>,
     fault: Mutex<Fault>,
     connections: AtomicU64,
-    /// Connections that are open now.
+    /// Number of open connections.
     open: AtomicU64,
-    /// Connections up to this one, in the order in which they were made, carry nothing any more.
-    silenced: AtomicU64,
-    bytes_forth: AtomicU64,
-    bytes_back: AtomicU64,
+    /// Highest number of a silenced connection; connections are numbered from 1 as they are accepted.
+    silenced_up_to: AtomicU64,
+    bytes_to_target: AtomicU64,
+    bytes_to_client: AtomicU64,
 }
 
-/// A running proxy; dropping it cuts all its connections.
+/// A running proxy; dropping it stops accepting connections.
 #[derive(Debug)]
 pub struct Handle {
     address: SocketAddr,
@@ -65,7 +65,7 @@
     _accepting: Task<()>,
 }
 
-/// Starts a proxy before `target`.
+/// Starts a proxy that forwards to `target`.
 ///
 /// # Errors
 /// When the address cannot be bound.
@@ -78,9 +78,9 @@
         fault: Mutex::new(Fault::default()),
         connections: AtomicU64::new(0),
         open: AtomicU64::new(0),
-        silenced: AtomicU64::new(0),
-        bytes_forth: AtomicU64::new(0),
-        bytes_back: AtomicU64::new(0),
+        silenced_up_to: AtomicU64::new(0),
+        bytes_to_target: AtomicU64::new(0),
+        bytes_to_client: AtomicU64::new(0),
     });
     let accepting = runtime::spawn(accept(listener, Arc::clone(&shared)));
     Ok(Handle {
@@ -91,45 +91,45 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address that the proxy listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Leads new connections to another target.
+    /// Forwards new connections to another target.
     pub fn retarget(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
     }
 
-    /// Orders what happens from now on, to open connections too.
+    /// Sets the fault for new and for open connections.
     pub fn set(&self, fault: Fault) {
         *lock(&self.shared.fault) = fault;
     }
 
-    /// Lets the connections that are open fall silent for good, without a reset; new ones work.
+    /// Stops forwarding on the open connections for good, without a reset; new connections work.
     pub fn silence(&self) {
         let made = self.connections();
-        self.shared.silenced.store(made, Ordering::Relaxed);
+        self.shared.silenced_up_to.store(made, Ordering::Relaxed);
     }
 
-    /// Number of connections made so far.
+    /// Number of connections accepted so far.
     #[must_use]
     pub fn connections(&self) -> u64 {
         self.shared.connections.load(Ordering::Relaxed)
     }
 
-    /// Number of connections that are open now.
+    /// Number of open connections.
     #[must_use]
     pub fn open(&self) -> u64 {
         self.shared.open.load(Ordering::Relaxed)
     }
 
-    /// Bytes passed to the target and back so far.
+    /// Bytes forwarded to the target and to the clients so far.
     #[must_use]
     pub fn bytes(&self) -> (u64, u64) {
-        let forth = self.shared.bytes_forth.load(Ordering::Relaxed);
-        (forth, self.shared.bytes_back.load(Ordering::Relaxed))
+        let forth = self.shared.bytes_to_target.load(Ordering::Relaxed);
+        (forth, self.shared.bytes_to_client.load(Ordering::Relaxed))
     }
 }
 
@@ -138,9 +138,9 @@
         *lock(&self.fault)
     }
 
-    /// Whether a connection carries nothing any more.
+    /// Whether a connection was silenced.
     fn is_silent(&self, connection: u64) -> bool {
-        connection <= self.silenced.load(Ordering::Relaxed)
+        connection <= self.silenced_up_to.load(Ordering::Relaxed)
     }
 }
 
@@ -156,65 +156,65 @@
         }
         let shared = Arc::clone(&shared);
         runtime::spawn(async move {
-            // A connection that cannot be made or breaks simply ends, as it would without a proxy.
+            // A failed connection is closed, which is what the client would see without a proxy.
             shared.open.fetch_add(1, Ordering::Relaxed);
-            let _ = join(stream, connection, &shared).await;
+            let _ = relay(stream, connection, &shared).await;
             shared.open.fetch_sub(1, Ordering::Relaxed);
         })
         .detach();
     }
 }
 
-async fn join(near: TcpStream, connection: u64, shared: &Shared) -> io::Result<()> {
+async fn relay(client: TcpStream, connection: u64, shared: &Shared) -> io::Result<()> {
     let target = *lock(&shared.target);
-    let far = TcpStream::connect(target).await?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let forth = pass(
-        near.clone(),
-        far.clone(),
+    let server = TcpStream::connect(target).await?;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let forth = copy(
+        client.clone(),
+        server.clone(),
         connection,
         shared,
         |fault| fault.forth,
-        &shared.bytes_forth,
+        &shared.bytes_to_target,
     );
-    let back = pass(
-        far,
-        near,
+    let back = copy(
+        server,
+        client,
         connection,
         shared,
         |fault| fault.back,
-        &shared.bytes_back,
+        &shared.bytes_to_client,
     );
     forth.or(back).await
 }
 
-/// Lets a connection end with a reset instead of an orderly close.
+/// Makes the close of a connection send a reset instead of a FIN.
 fn reset_on_close(stream: &TcpStream) -> io::Result<()> {
     set_socket_linger(stream, Some(Duration::ZERO))?;
     Ok(())
 }
 
-/// Moves bytes one way until the end, a cut or an error.
-async fn pass(
+/// Copies the bytes of one direction until end of file, a cut or an error.
+async fn copy(
     mut from: TcpStream,
     mut to: TcpStream,
     connection: u64,
     shared: &Shared,
-    way: fn(Fault) -> Way,
+    behaviour: fn(Fault) -> Way,
     total: &AtomicU64,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; MOVE_BYTES];
-    let mut passed = 0;
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut copied = 0;
     loop {
         let mut count = from.read(&mut buffer).await?;
         if count == 0 {
             return Ok(());
         }
-        while way(shared.fault()) == Way::Freeze || shared.is_silent(connection) {
+        while behaviour(shared.fault()) == Way::Freeze || shared.is_silent(connection) {
             Timer::after(FREEZE_POLL).await;
         }
-        let limit = match way(shared.fault()) {
+        let limit = match behaviour(shared.fault()) {
             Way::CutAfter(limit) => Some(limit),
             Way::Pass | Way::Freeze => None,
             Way::Delay(time) => {
@@ -228,13 +228,13 @@
             }
         };
         if let Some(limit) = limit {
-            let left = limit.saturating_sub(passed);
+            let left = limit.saturating_sub(copied);
             count = count.min(usize::try_from(left).unwrap_or(usize::MAX));
         }
         to.write_all(&buffer[..count]).await?;
-        passed += count as u64;
+        copied += count as u64;
         total.fetch_add(count as u64, Ordering::Relaxed);
-        if limit.is_some_and(|limit| passed >= limit) {
+        if limit.is_some_and(|limit| copied >= limit) {
             return Ok(());
         }
     }
--- a/cypressvane_standin/src/usage.rs
+++ b/cypressvane_standin/src/usage.rs
@@ -1,33 +1,33 @@
-//! What a process uses, as the system counts it.
+//! Processor time, memory and written bytes of a process, from `/proc`.
 
 use std::fs;
 use std::io;
 use std::time::Duration;
 
-/// Clock ticks a second in `/proc`; fixed on Linux.
-const TICKS: u32 = 100;
-/// Bytes of a kibibyte.
+/// Clock ticks a second of the times in `/proc`; fixed on Linux.
+const TICKS_PER_SECOND: u32 = 100;
+/// Bytes in a kibibyte, the unit of `/proc/<id>/status`.
 const KIB: u64 = 1024;
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Time on processors since its start, in user and system mode.
+    /// Processor time in user and system mode since the start of the process.
     pub processor: Duration,
     /// Resident memory, in bytes.
     pub resident: u64,
-    /// Highest resident memory since its start, in bytes.
+    /// Peak resident memory since the start of the process, in bytes.
     pub peak: u64,
 }
 
-/// Reads what a process uses.
+/// Reads the resource usage of the process `id`.
 ///
 /// # Errors
-/// When the process is gone or the system does not tell.
+/// When the process is gone or its `/proc` files are unreadable.
 pub fn of(id: u32) -> io::Result<Usage> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let unreadable = || io::Error::new(io::ErrorKind::InvalidData, "an unreadable /proc file");
-    // The name in parentheses may hold spaces, so the fields are counted from its end.
+    // The program name in parentheses may contain spaces, so the fields are counted from its end.
     let fields: Vec<&str> = stat
         .rsplit(')')
         .next()
@@ -36,7 +36,7 @@
         .collect();
     let ticks = |index: usize| -> Option<u32> { fields.get(index)?.parse().ok() };
     let used = ticks(11).zip(ticks(12)).map(|(user, system)| user + system);
-    let processor = Duration::from_secs(1) * used.ok_or_else(unreadable)? / TICKS;
+    let processor = Duration::from_secs(1) * used.ok_or_else(unreadable)? / TICKS_PER_SECOND;
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
     let bytes = |name: &str| -> Option<u64> {
         let line = status.lines().find_map(|line| line.strip_prefix(name))?;
@@ -52,12 +52,12 @@
     })
 }
 
-/// Bytes that a process sent over its sockets, as far as it wrote them.
+/// Bytes that a process has written since its start.
 ///
-/// Counts all its writes: to sockets, and its log where that goes to a file.
+/// Counts all writes: those to sockets, and those of the log if it goes to a file.
 ///
 /// # Errors
-/// When the process is gone or the system does not tell.
+/// When the process is gone or its `/proc` files are unreadable.
 pub fn written(id: u32) -> io::Result<u64> {
     let text = fs::read_to_string(format!("/proc/{id}/io"))?;
     let unreadable = || io::Error::new(io::ErrorKind::InvalidData, "an unreadable /proc file");
--- a/cypressvane_standin/tests/engine.rs
+++ b/cypressvane_standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's stand-in by itself: what it says and what its ledger counts.
+//! Tests the simulated engine alone: its answers, and the counts of its ledger.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Once;
--- a/cypressvane_standin/tests/known_red.rs
+++ b/cypressvane_standin/tests/known_red.rs
@@ -1,11 +1,11 @@
-//! The list of known failures: what CI's judge says of runs of the tests.
+//! Tests how the CI script `judge` treats failed tests that are, or are not, on the list of known failures.
 
 use std::fs;
 use std::path::Path;
 use std::process::Command;
 
-/// A run whose one failure is `site::silent`.
-const ONE_RED: &str = "
+/// The log of a run in which only `site::silent` fails.
+const ONE_FAILED: &str = "
      Running tests/site.rs (target/debug/deps/site-0123456789abcdef)
 test whole ... ok
 test silent ... FAILED
@@ -16,15 +16,15 @@
     `-p cypressvane_platform --test site`
 ";
 
-/// A run in which all passed.
-const GREEN: &str = "
+/// The log of a run in which all tests pass.
+const ALL_PASSED: &str = "
      Running tests/site.rs (target/debug/deps/site-0123456789abcdef)
 test whole ... ok
 test silent ... ok
 test result: ok. 2 passed; 0 failed; 0 ignored; 0 measured; 0 filtered out; finished in 0.10s
 ";
 
-/// A run in which a test binary ended before it told its results.
+/// The log of a run in which a test binary aborts before it prints its results.
 const ABORTED: &str = "
      Running tests/site.rs (target/debug/deps/site-0123456789abcdef)
 test whole ... ok
@@ -36,7 +36,7 @@
     `-p cypressvane_platform --test site`
 ";
 
-const LISTED: &str = "site::silent | cargo test --test site, seed 4 | a cause | 21\n";
+const LIST_WITH_SILENT: &str = "site::silent | cargo test --test site, seed 4 | a cause | 21\n";
 
 struct Case {
     name: &'static str,
@@ -45,36 +45,43 @@
     code: &'static str,
     list: &'static str,
     passes: bool,
-    says: &'static str,
+    message: &'static str,
 }
 
 #[test]
 fn only_the_listed_tests_may_fail_and_they_must() {
     let four =
         "site::a | c | d | 1\nsite::b | c | d | 1\nsite::silent | c | d | 1\nsite::d | c | d | 1\n";
-    let case = |name, log, code, list, passes, says| Case {
+    let case = |name, log, code, list, passes, message| Case {
         name,
         log,
         code,
         list,
         passes,
-        says,
+        message,
     };
     let cases = [
-        case("green", GREEN, "0", "", true, ""),
-        case("a failure", ONE_RED, "101", "", false, "not listed"),
+        case("green", ALL_PASSED, "0", "", true, ""),
+        case("a failure", ONE_FAILED, "101", "", false, "not listed"),
         case(
             "a listed one",
-            ONE_RED,
+            ONE_FAILED,
             "101",
-            LISTED,
+            LIST_WITH_SILENT,
             true,
             "failed as listed",
         ),
-        case("mended", GREEN, "0", LISTED, false, "must leave the list"),
+        case(
+            "mended",
+            ALL_PASSED,
+            "0",
+            LIST_WITH_SILENT,
+            false,
+            "must leave the list",
+        ),
         case(
             "another one listed",
-            ONE_RED,
+            ONE_FAILED,
             "101",
             "site::whole | c | d | 1\n",
             false,
@@ -82,7 +89,7 @@
         ),
         case(
             "not run",
-            GREEN,
+            ALL_PASSED,
             "0",
             "site::gone | c | d | 1\n",
             false,
@@ -93,15 +100,22 @@
             "aborted, and listed",
             ABORTED,
             "101",
-            LISTED,
+            LIST_WITH_SILENT,
             false,
             "did not run",
         ),
-        case("not built", "", "101", LISTED, false, "no test ran"),
-        case("too many", ONE_RED, "101", four, false, "at most 3"),
+        case(
+            "not built",
+            "",
+            "101",
+            LIST_WITH_SILENT,
+            false,
+            "no test ran",
+        ),
+        case("too many", ONE_FAILED, "101", four, false, "at most 3"),
         case(
             "no issue",
-            ONE_RED,
+            ONE_FAILED,
             "101",
             "site::silent | command | cause\n",
             false,
@@ -109,7 +123,7 @@
         ),
         case(
             "killed at the end",
-            GREEN,
+            ALL_PASSED,
             "137",
             "",
             false,
@@ -122,19 +136,19 @@
     for case in cases {
         fs::write(&log, case.log).expect("the log is written");
         fs::write(&list, case.list).expect("the list is written");
-        let judged = Command::new(judge)
+        let output = Command::new(judge)
             .arg(&log)
             .arg(case.code)
             .arg(&list)
             .output()
             .expect("the judge runs");
-        let said = String::from_utf8_lossy(&judged.stdout);
+        let verdict = String::from_utf8_lossy(&output.stdout);
         assert_eq!(
-            judged.status.success(),
+            output.status.success(),
             case.passes,
-            "{}: {said}",
+            "{}: {verdict}",
             case.name
         );
-        assert!(said.contains(case.says), "{}: {said}", case.name);
+        assert!(verdict.contains(case.message), "{}: {verdict}", case.name);
     }
 }
