--- a/cypressvane_standin/src/audit.rs
+++ b/cypressvane_standin/src/audit.rs
@@ -17,7 +17,7 @@
 pub struct Told {
     /// The request.
     pub ask: Ask,
-    /// The answer; an error when the host could not be reached or closed the connection before it.
+    /// The answer; an error when the host could not be reached or sent no head of an answer.
     pub result: Result<Answer, client::Error>,
 }
 
@@ -34,11 +34,11 @@
 
 /// Waits for the results of all requests.
 pub async fn gather(tasks: Vec<Task<Told>>) -> Vec<Told> {
-    let mut told = Vec::new();
+    let mut calls = Vec::new();
     for task in tasks {
-        told.push(task.await);
+        calls.push(task.await);
     }
-    told
+    calls
 }
 
 /// How often each request id and each idempotency key reached an engine.
@@ -72,7 +72,7 @@
 /// "not run" although the request reached an engine, and whole answers with the wrong text or to
 /// requests that reached no engine.
 #[must_use]
-pub fn violations(told: &[Told], seen: &Seen) -> Vec<String> {
+pub fn violations(calls: &[Told], seen: &Seen) -> Vec<String> {
     let mut violations = Vec::new();
     for (id, count) in seen.ids.iter().filter(|(_, count)| **count != 1) {
         violations.push(format!("request {id} reached engines {count} times"));
@@ -80,14 +80,14 @@
     for (key, count) in seen.keys.iter().filter(|(_, count)| **count != 1) {
         violations.push(format!("key {key} reached engines {count} times"));
     }
-    for told in told {
-        let Ok(answer) = &told.result else { continue };
-        violations.extend(violation(told, answer, seen));
+    for call in calls {
+        let Ok(answer) = &call.result else { continue };
+        violations.extend(violation(call, answer, seen));
     }
     violations
 }
 
-fn violation(told: &Told, answer: &Answer, seen: &Seen) -> Option<String> {
+fn violation(call: &Told, answer: &Answer, seen: &Seen) -> Option<String> {
     if let Some(error) = &answer.error {
         let contradicted = error.ran == Ran::No && seen.ids.contains_key(&error.request_id);
         return contradicted.then(|| format!("{error:?}, but the request reached an engine"));
@@ -95,7 +95,7 @@
     if !answer.whole {
         return None;
     }
-    if answer.text != told.ask.expected() {
+    if answer.text != call.ask.expected() {
         return Some(format!(
             "request {} got an answer with the wrong text",
             answer.request_id
@@ -112,16 +112,16 @@
 
 /// Number of whole answers.
 #[must_use]
-pub fn whole(told: &[Told]) -> usize {
-    let is_whole = |told: &&Told| told.result.as_ref().is_ok_and(|answer| answer.whole);
-    told.iter().filter(is_whole).count()
+pub fn whole(calls: &[Told]) -> usize {
+    let is_whole = |call: &&Told| call.result.as_ref().is_ok_and(|answer| answer.whole);
+    calls.iter().filter(is_whole).count()
 }
 
 /// Number of answers whose error states `ran`.
 #[must_use]
-pub fn ran(told: &[Told], ran: Ran) -> usize {
-    let errors = told
+pub fn ran(calls: &[Told], ran: Ran) -> usize {
+    let errors = calls
         .iter()
-        .filter_map(|told| told.result.as_ref().ok()?.error.as_ref());
+        .filter_map(|call| call.result.as_ref().ok()?.error.as_ref());
     errors.filter(|error| error.ran == ran).count()
 }
--- a/cypressvane_standin/src/bin/measure/cli.rs
+++ b/cypressvane_standin/src/bin/measure/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the measuring tool.
+//! The command line of the program `measure`.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -8,7 +8,7 @@
 use crate::run::Fault;
 use crate::ways::Way;
 
-/// Measures ways to fill engines over the same arrivals, with real hosts and stand-in engines.
+/// Compares ways to dispatch requests to engines, with real hosts and simulated engines.
 #[derive(Debug, Parse)]
 pub struct Options {
     /// print this help
@@ -40,7 +40,7 @@
     pub plot: Option<PathBuf>,
 }
 
-/// The ways that are run.
+/// The ways to run, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ways(pub Vec<Way>);
 
--- a/cypressvane_standin/src/bin/measure/main.rs
+++ b/cypressvane_standin/src/bin/measure/main.rs
@@ -1,4 +1,4 @@
-//! Measures ways to fill engines over the same arrivals.
+//! Compares ways to dispatch requests to engines on the same schedule of arrivals.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
@@ -25,9 +25,9 @@
 use crate::run::Plan;
 use crate::shape::Shape;
 
-/// Worker threads of the load.
+/// Number of worker threads of the load generator.
 const THREADS: usize = 2;
-/// Loads of a plot.
+/// Offered loads of a plot, as multiples of the capacity.
 const PLOT_LOADS: [f64; 6] = [0.5, 0.8, 1.0, 1.3, 1.6, 2.0];
 
 fn main() -> ExitCode {
@@ -52,15 +52,15 @@
     if let Some(path) = &options.plot {
         return plot(options, &shape, path).await;
     }
-    let report = report_of(options, &shape, options.load).await?;
+    let report = measure_load(options, &shape, options.load).await?;
     if options.json {
         println!("{}", serde_json::to_string(&report)?);
     }
     Ok(())
 }
 
-/// Runs all ways at one load.
-async fn report_of(options: &Options, shape: &Shape, load: f64) -> io::Result<Report> {
+/// Runs all chosen ways at one load, once for each seed.
+async fn measure_load(options: &Options, shape: &Shape, load: f64) -> io::Result<Report> {
     let mut ways = Vec::new();
     for way in &options.way.0 {
         let mut outcomes = Vec::new();
@@ -89,17 +89,17 @@
     })
 }
 
-/// Draws goodput by tier against the offered load.
+/// Runs all chosen ways at several loads and writes a plot of their goodput by tier.
 async fn plot(options: &Options, shape: &Shape, path: &Path) -> io::Result<()> {
     let mut lines: Vec<Line> = Vec::new();
     for load in PLOT_LOADS {
         println!("load {load}");
-        let report = report_of(options, shape, load).await?;
+        let report = measure_load(options, shape, load).await?;
         for (way, values) in report.ways.iter().enumerate() {
             for (tier, (name, goodput)) in values.goodput_by_tier().into_iter().enumerate() {
                 let name = format!("{name}, {}", options.way.0[way].name());
-                let known = lines.iter_mut().find(|line| line.name == name);
-                match known {
+                let existing = lines.iter_mut().find(|line| line.name == name);
+                match existing {
                     Some(line) => line.points.push((load, goodput)),
                     None => lines.push(Line {
                         name,
--- a/cypressvane_standin/src/bin/measure/plot.rs
+++ b/cypressvane_standin/src/bin/measure/plot.rs
@@ -1,38 +1,41 @@
-//! Goodput by tier against offered load, as an SVG picture.
+//! Plots goodput by tier against offered load as SVG.
 
 use std::fmt::Write as _;
 
-/// Size of the picture.
+/// Width of the plot, in pixels.
 const WIDTH: f64 = 720.0;
+/// Height of the plot, in pixels.
 const HEIGHT: f64 = 420.0;
-/// Room around the axes.
+/// Margin around the axes, in pixels.
 const MARGIN: f64 = 50.0;
-/// Loads at the ends of the axis.
+/// Range of the load axis.
 const LOADS: (f64, f64) = (0.5, 2.0);
-/// Colours by tier, and dashes by way.
+/// Line colours by tier.
 const COLOURS: [&str; 5] = ["#b2182b", "#ef8a62", "#2166ac", "#67a9cf", "#777777"];
+/// Dash patterns by way.
 const DASHES: [&str; 4] = ["none", "8 4", "3 3", "1 4"];
 
-/// A line of the picture.
+/// A line of the plot.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// Its name.
+    /// The label.
     pub name: String,
     /// Index of the tier.
     pub tier: usize,
     /// Index of the way.
     pub way: usize,
-    /// Load and goodput.
+    /// Pairs of load and goodput.
     pub points: Vec<(f64, f64)>,
 }
 
-fn place(load: f64, goodput: f64) -> (f64, f64) {
-    let across = (load - LOADS.0) / (LOADS.1 - LOADS.0);
-    let x = MARGIN + across * (WIDTH - 4.0 * MARGIN);
+/// Coordinates of a point, in pixels.
+fn point_at(load: f64, goodput: f64) -> (f64, f64) {
+    let fraction = (load - LOADS.0) / (LOADS.1 - LOADS.0);
+    let x = MARGIN + fraction * (WIDTH - 4.0 * MARGIN);
     (x, HEIGHT - MARGIN - goodput * (HEIGHT - 2.0 * MARGIN))
 }
 
-/// Draws the lines; writing to a string cannot fail.
+/// Draws the lines; ignores errors of `write!`, since writing to a string cannot fail.
 pub fn draw(title: &str, lines: &[Line]) -> String {
     let mut svg = format!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{WIDTH}\" height=\"{HEIGHT}\" \
@@ -42,8 +45,8 @@
     );
     for step in 0..=5 {
         let goodput = f64::from(step) / 5.0;
-        let (left, y) = place(LOADS.0, goodput);
-        let (right, _) = place(LOADS.1, goodput);
+        let (left, y) = point_at(LOADS.0, goodput);
+        let (right, _) = point_at(LOADS.1, goodput);
         let _ = write!(
             svg,
             "<line x1=\"{left}\" y1=\"{y}\" x2=\"{right}\" y2=\"{y}\" stroke=\"#dddddd\"/>\
@@ -54,7 +57,7 @@
     }
     for step in 0..=3 {
         let load = LOADS.0 + f64::from(step) * 0.5;
-        let (x, y) = place(load, 0.0);
+        let (x, y) = point_at(load, 0.0);
         let _ = write!(
             svg,
             "<text x=\"{}\" y=\"{}\">{load:.1}</text>",
@@ -66,7 +69,7 @@
         let points: Vec<String> = line
             .points
             .iter()
-            .map(|(load, goodput)| place(*load, *goodput))
+            .map(|(load, goodput)| point_at(*load, *goodput))
             .map(|(x, y)| format!("{x:.1},{y:.1}"))
             .collect();
         let colour = COLOURS[line.tier % COLOURS.len()];
--- a/cypressvane_standin/src/bin/measure/report.rs
+++ b/cypressvane_standin/src/bin/measure/report.rs
@@ -1,4 +1,4 @@
-//! What the runs of a way come to.
+//! The results of the runs, by way.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::run::Outcome;
 use crate::shape::Shape;
 
-/// First-token times of a tier, in milliseconds.
+/// Percentiles of the first-token times of a tier, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Times {
     p50: f64,
@@ -16,7 +16,7 @@
     p99: f64,
 }
 
-/// Least and most over the seeds.
+/// Minimum and maximum over the seeds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Spread {
     goodput_total: [f64; 2],
@@ -24,7 +24,7 @@
     wasted_prefill_share: [f64; 2],
 }
 
-/// A way over all seeds; tiers stand in the shape's order.
+/// The results of a way over all seeds; tiers are in the order of the shape.
 #[derive(Clone, Debug, Serialize)]
 pub struct Way {
     #[serde(rename = "way")]
@@ -42,20 +42,20 @@
 /// The whole report.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The shape.
+    /// Name of the shape.
     pub shape: String,
     /// Offered load as a multiple of the capacity.
     pub load: f64,
-    /// The failure.
+    /// Name of the injected fault.
     pub fault: Option<&'static str>,
     /// Number of seeds.
     pub seeds: u64,
-    /// By way.
+    /// The results by way.
     pub ways: Vec<Way>,
 }
 
-/// A number of things as a real number.
-fn real(count: usize) -> f64 {
+/// Converts a count; infinity if it exceeds 32 bits.
+fn to_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::INFINITY, f64::from)
 }
 
@@ -68,9 +68,9 @@
     }
 }
 
-/// The share of requests that were answered within their contract; of one tier, or of all.
+/// Share of requests that were answered within the contract of their tier; of one tier or of all.
 fn goodput(outcome: &Outcome, tier: Option<usize>) -> f64 {
-    let of_tier = |result: &&crate::run::Judged| tier.is_none_or(|tier| result.tier == tier);
+    let of_tier = |result: &&crate::run::RequestResult| tier.is_none_or(|tier| result.tier == tier);
     let all = outcome.results.iter().filter(of_tier).count();
     let good = outcome
         .results
@@ -81,7 +81,7 @@
     if all == 0 {
         1.0
     } else {
-        real(good) / real(all)
+        to_f64(good) / to_f64(all)
     }
 }
 
@@ -101,13 +101,13 @@
     }
 }
 
-/// Four decimal places.
+/// Rounds to four decimal places.
 fn rounded(number: f64) -> f64 {
     (number * 1e4).round() / 1e4
 }
 
 impl Way {
-    /// Puts the outcomes of all seeds together.
+    /// Aggregates the outcomes of all seeds.
     pub fn new(way: &'static str, shape: &Shape, outcomes: &[Outcome]) -> Self {
         let mut all = Outcome::default();
         for outcome in outcomes {
@@ -129,9 +129,9 @@
         };
         let range = |value: &dyn Fn(&Outcome) -> f64| {
             let values: Vec<f64> = outcomes.iter().map(value).collect();
-            let least = values.iter().copied().fold(f64::INFINITY, f64::min);
+            let min = values.iter().copied().fold(f64::INFINITY, f64::min);
             [
-                rounded(least),
+                rounded(min),
                 rounded(values.iter().copied().fold(0.0, f64::max)),
             ]
         };
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Share of requests that were answered within their contract, by tier in the shape's order.
+    /// Share of requests that were answered within the contract of their tier, by tier in the order of the shape.
     pub fn goodput_by_tier(&self) -> Vec<(String, f64)> {
         let tiers = self.goodput.iter();
         tiers
@@ -167,7 +167,7 @@
             .collect()
     }
 
-    /// Prints the way for a person.
+    /// Prints the results in readable form.
     pub fn print(&self) {
         let tiers: Vec<String> = self
             .goodput_by_tier()
--- a/cypressvane_standin/src/bin/measure/run.rs
+++ b/cypressvane_standin/src/bin/measure/run.rs
@@ -1,4 +1,4 @@
-//! One run of one way over one schedule of arrivals.
+//! Runs one way on one schedule of arrivals.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,34 +17,34 @@
 use crate::shape::{Arrival, Burst, MODEL, Shape};
 use crate::ways::{Chooser, Way};
 
-/// Arrivals before those that count.
+/// Time before the measured part of a run; its arrivals are not counted.
 pub const WARM_UP: Duration = Duration::from_secs(3);
-/// How much slower an engine becomes.
-const SLOWED: f64 = 3.0;
-/// Length of a burst.
-const BURST: Duration = Duration::from_secs(3);
-/// Age of the engines' reports, in milliseconds.
+/// Factor by which [`Fault::SlowEngine`] slows an engine down.
+const SLOWDOWN: f64 = 3.0;
+/// Duration of a burst.
+const BURST_TIME: Duration = Duration::from_secs(3);
+/// Maximum age of the load reports of engines, in milliseconds.
 const REPORT_MS: u64 = 1_000;
-/// The same where reports are stale.
+/// Maximum age of the load reports under [`Fault::Stale`], in milliseconds.
 const STALE_MS: u64 = 5_000;
-/// Time after which a host that was killed gets no more callers.
+/// Time until the load balancer stops sending requests to a killed host.
 const BALANCER_LAG: Duration = Duration::from_millis(500);
 
-/// A failure in the middle of a run.
+/// A fault that is injected into a run; all but [`Fault::Stale`] start in the middle of its measured part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// One engine becomes three times slower.
+    /// The last engine becomes three times slower.
     SlowEngine,
-    /// One host is killed.
+    /// The first host is killed.
     KillHost,
-    /// Arrivals double for 3 s, half of them at one host.
+    /// Arrivals double for 3 s, and half of them go to the first host.
     Burst,
-    /// Reports of load are 5 s old.
+    /// Load reports are up to 5 s old during the whole run.
     Stale,
 }
 
 impl Fault {
-    /// Its name on the command line.
+    /// The name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::SlowEngine => "slow-engine",
@@ -67,57 +67,57 @@
     }
 }
 
-/// What a run is made of.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan<'a> {
     /// The deployment.
     pub shape: &'a Shape,
-    /// The way.
+    /// How requests are dispatched to engines.
     pub way: Way,
-    /// What the arrivals are drawn from.
+    /// Seed of the random arrivals.
     pub seed: u64,
     /// Offered load as a multiple of the capacity.
     pub load: f64,
-    /// Time of the arrivals that count.
+    /// Duration of the measured part of the run.
     pub time: Duration,
-    /// The failure.
+    /// The fault to inject.
     pub fault: Option<Fault>,
 }
 
-/// What came of one request.
+/// The result of one request.
 #[derive(Clone, Debug)]
-pub struct Judged {
-    /// Index of its tier.
+pub struct RequestResult {
+    /// Index of the tier of the request.
     pub tier: usize,
-    /// Time from its scheduled arrival to the first token.
+    /// Time from the scheduled arrival to the first token; `None` unless the answer is whole.
     pub first: Option<Duration>,
-    /// Whether the whole answer came within the tier's contract.
+    /// Whether the answer is whole and met the limits of the tier.
     pub good: bool,
-    /// The code of its refusal.
+    /// The code of the refusal or failure.
     pub refused: Option<&'static str>,
-    /// Whether nothing came at all.
+    /// Whether there was no answer.
     pub unanswered: bool,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Of each request that counts.
-    pub results: Vec<Judged>,
-    /// Prompt tokens that engines worked on.
+    /// The results of the requests that count.
+    pub results: Vec<RequestResult>,
+    /// Prompt tokens that the engines prefilled.
     pub prompt_tokens: u64,
-    /// Those of requests that were thrown away.
+    /// Prompt tokens that the engines prefilled for requests that were cancelled.
     pub wasted_tokens: u64,
 }
 
-/// Where requests are sent.
+/// The receivers of requests, by host.
 enum Target {
     Hosts(Vec<SocketAddr>),
     Choosers(Vec<Chooser>),
 }
 
 impl Target {
-    fn of(&self, host: usize) -> SocketAddr {
+    fn address(&self, host: usize) -> SocketAddr {
         match self {
             Self::Hosts(hosts) => hosts[host],
             Self::Choosers(choosers) => choosers[host].choose(),
@@ -125,7 +125,7 @@
     }
 }
 
-/// Runs a plan with fresh processes.
+/// Runs a plan with newly started processes.
 pub async fn run(plan: Plan<'_>) -> io::Result<Outcome> {
     let report_ms = if plan.fault == Some(Fault::Stale) {
         STALE_MS
@@ -159,7 +159,7 @@
         let chooser = |turn| Chooser::spawn(plan.way, engines.clone(), turn);
         Target::Choosers((0..plan.shape.hosts).map(chooser).collect())
     };
-    let results = play(plan, &mut fleet, &target, &settings).await?;
+    let results = send_arrivals(plan, &mut fleet, &target, &settings).await?;
     let mut outcome = Outcome {
         results,
         ..Outcome::default()
@@ -172,17 +172,17 @@
     Ok(outcome)
 }
 
-/// Sends the arrivals by their schedule, whatever the answers do.
-async fn play(
+/// Sends the arrivals on schedule, without waiting for answers, and returns the results.
+async fn send_arrivals(
     plan: Plan<'_>,
     fleet: &mut Fleet,
     target: &Target,
     settings: &[engine::Settings],
-) -> io::Result<Vec<Judged>> {
+) -> io::Result<Vec<RequestResult>> {
     let middle = WARM_UP + plan.time / 2;
     let burst = Burst {
         from: middle,
-        to: middle + BURST,
+        to: middle + BURST_TIME,
     };
     let burst = (plan.fault == Some(Fault::Burst)).then_some(burst);
     let arrivals = plan
@@ -190,14 +190,14 @@
         .arrivals(plan.seed, plan.load, WARM_UP + plan.time, burst);
     let begun = Instant::now();
     let dead = Arc::new(AtomicBool::new(false));
-    let mut killed = None;
+    let mut killed_at = None;
     let mut slowed = false;
     let mut running = Vec::new();
     for mut arrival in arrivals {
         Timer::after(arrival.at.saturating_sub(begun.elapsed())).await;
         let past_middle = begun.elapsed() >= middle;
-        if past_middle && plan.fault == Some(Fault::KillHost) && killed.is_none() {
-            killed = Some(Instant::now());
+        if past_middle && plan.fault == Some(Fault::KillHost) && killed_at.is_none() {
+            killed_at = Some(Instant::now());
             dead.store(true, Ordering::Relaxed);
             if let Some(host) = fleet.hosts.first_mut().and_then(Option::as_mut) {
                 host.kill();
@@ -205,14 +205,14 @@
         }
         if past_middle && plan.fault == Some(Fault::SlowEngine) && !slowed {
             slowed = true;
-            let slow = slow_of(&settings[settings.len() - 1]);
+            let slow = slowed_settings(&settings[settings.len() - 1]);
             fleet.set_engine(settings.len() - 1, &slow).await?;
         }
-        if arrival.host == 0 && killed.is_some_and(|at: Instant| at.elapsed() > BALANCER_LAG) {
+        if arrival.host == 0 && killed_at.is_some_and(|at: Instant| at.elapsed() > BALANCER_LAG) {
             arrival.host = 1 + running.len() % (plan.shape.hosts - 1);
         }
         let request = request(plan.shape, &arrival);
-        let address = target.of(arrival.host);
+        let address = target.address(arrival.host);
         let due = begun + arrival.at;
         let dead = Arc::clone(&dead);
         let deadline = Duration::from_millis(plan.shape.tiers[arrival.tier].deadline_ms);
@@ -220,7 +220,8 @@
             let left = (due + deadline).saturating_duration_since(Instant::now());
             let sent = Instant::now();
             let answer = within(left, ask(address, &request)).await;
-            // A host that was killed takes its callers' answers with it, by whatever way.
+            // The callers of a killed host lose their answers; they are dropped here, since the
+            // baselines have no host process to kill.
             let lost = arrival.host == 0 && dead.load(Ordering::Relaxed);
             let answer = answer.and_then(Result::ok).filter(|_| !lost);
             (arrival, sent.saturating_duration_since(due), answer)
@@ -230,16 +231,16 @@
     for task in running {
         let (arrival, late, answer) = task.await;
         if arrival.at >= WARM_UP {
-            results.push(judge(plan.shape, &arrival, late, answer));
+            results.push(evaluate(plan.shape, &arrival, late, answer));
         }
     }
     Ok(results)
 }
 
-fn slow_of(settings: &engine::Settings) -> engine::Settings {
+fn slowed_settings(settings: &engine::Settings) -> engine::Settings {
     let mut slow = settings.clone();
-    slow.prefill_rate /= SLOWED;
-    slow.decode_ms *= SLOWED;
+    slow.prefill_rate /= SLOWDOWN;
+    slow.decode_ms *= SLOWDOWN;
     slow
 }
 
@@ -251,11 +252,18 @@
         .with("cypressvane-deadline-ms", &deadline)
 }
 
-/// Compares an answer with the tier's contract.
-fn judge(shape: &Shape, arrival: &Arrival, late: Duration, answer: Option<Answer>) -> Judged {
+/// Checks an answer against the limits of its tier.
+///
+/// `late` is the delay of the sending after the scheduled arrival.
+fn evaluate(
+    shape: &Shape,
+    arrival: &Arrival,
+    late: Duration,
+    answer: Option<Answer>,
+) -> RequestResult {
     let tier = &shape.tiers[arrival.tier];
     let Some(answer) = answer else {
-        return Judged {
+        return RequestResult {
             tier: arrival.tier,
             first: None,
             good: false,
@@ -270,7 +278,7 @@
         && first <= Duration::from_millis(tier.first_token_ms)
         && between <= Duration::from_millis(tier.between_tokens_ms)
         && late + answer.total <= Duration::from_millis(tier.deadline_ms);
-    Judged {
+    RequestResult {
         tier: arrival.tier,
         first: answer.whole.then_some(first),
         good,
--- a/cypressvane_standin/src/bin/measure/shape.rs
+++ b/cypressvane_standin/src/bin/measure/shape.rs
@@ -1,4 +1,4 @@
-//! A user's mix of requests and engines, and the arrivals that it gives.
+//! The request mix and the engines of a deployment, and random arrivals drawn from them.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -11,29 +11,29 @@
 use fastrand::Rng;
 use serde::Deserialize;
 
-/// The shapes that come with the program.
+/// The built-in shapes by name.
 const BUILT_IN: [(&str, &str); 2] = [
     ("brennan", include_str!("../../../shapes/brennan.toml")),
     ("manizales", include_str!("../../../shapes/manizales.toml")),
 ];
-/// The model.
+/// The name of the model.
 pub const MODEL: &str = "engine";
-/// Requests in a batch of an engine.
+/// Batch size of an engine, in requests.
 const BATCH: u32 = 24;
-/// Longest step of an engine, in seconds of prefill.
+/// Maximum prefill time of one step of an engine, in seconds.
 const STEP_SECONDS: f64 = 0.03;
-/// Blocks of 64 tokens that an engine remembers.
+/// Size of the prefix cache of an engine, in blocks of 64 tokens.
 const CACHE_BLOCKS: usize = 400;
-/// Tokens that an engine's memory holds.
+/// Size of the memory of an engine, in tokens.
 const MEMORY_TOKENS: u64 = 24_000;
-/// Bytes of text that count as a token.
+/// Number of bytes of text to a token.
 const TOKEN_BYTES: usize = 4;
-/// Different beginnings that prompts of a tier share.
+/// Number of different shared prefixes of the prompts of a tier.
 const PREFIXES: u32 = 20;
-/// How much longer a decoding step is for each further request, as the stand-in has it.
+/// Share of its base time that each request adds to a decoding step; the same as in the simulated engine.
 const BATCH_COST: f64 = 0.02;
 
-/// Engines of one speed.
+/// A group of engines of the same speed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
@@ -42,67 +42,67 @@
     decode_ms: f64,
 }
 
-/// Requests of one tier.
+/// The limits and the request mix of one tier.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Promised time to the first token, in milliseconds.
+    /// Limit of the time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Promised mean time between tokens, in milliseconds.
+    /// Limit of the mean time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// When the whole answer is due, in milliseconds.
+    /// Limit of the time to the whole answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Its share of all requests.
+    /// Weight of this tier in the request mix, relative to the other tiers.
     share: f64,
-    /// Shortest and longest prompt, in tokens; lengths are even on a logarithmic scale.
+    /// Minimum and maximum prompt length, in tokens; lengths are log-uniform.
     prompt: [f64; 2],
-    /// Shortest and longest answer, in tokens.
+    /// Minimum and maximum answer length, in tokens; lengths are log-uniform.
     answer: [f64; 2],
-    /// Part of a prompt that it shares with others of its tier.
+    /// Share of a prompt, from its start, that is a shared prefix of its tier.
     shared_prefix: f64,
 }
 
-/// A user's deployment.
+/// A deployment: its hosts, engines and tiers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shape {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Entry hosts.
+    /// Number of hosts.
     pub hosts: usize,
     engines: Vec<Engines>,
-    /// From the highest.
+    /// The tiers, highest first.
     pub tiers: Vec<Tier>,
 }
 
-/// A request that is to be sent.
+/// A scheduled request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, from the beginning.
+    /// Time from the start of the run.
     pub at: Duration,
-    /// Index of its tier.
+    /// Index of the tier.
     pub tier: usize,
-    /// Host that the balancer sends it to.
+    /// Index of the host that the load balancer picked.
     pub host: usize,
-    /// Its prompt.
+    /// The prompt.
     pub prompt: String,
-    /// Tokens of its answer.
+    /// Number of answer tokens.
     pub answer_tokens: u32,
 }
 
-/// A time in which arrivals are doubled.
+/// A period with a doubled arrival rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
-    /// When it begins.
+    /// Start, from the start of the run.
     pub from: Duration,
-    /// When it ends.
+    /// End, from the start of the run.
     pub to: Duration,
 }
 
 impl Shape {
-    /// Reads a shape that comes with the program, or a file.
+    /// Loads a built-in shape or, if there is none of that name, a shape file.
     pub fn load(name: &str) -> io::Result<Self> {
         let built_in = BUILT_IN.iter().find(|(known, _)| *known == name);
         let text = match built_in {
@@ -112,7 +112,7 @@
         toml::from_str(&text).map_err(io::Error::other)
     }
 
-    /// How each engine works.
+    /// The settings of each engine.
     pub fn engines(&self, report_ms: u64) -> Vec<engine::Settings> {
         let settings = |engines: &Engines| engine::Settings {
             prefill_rate: engines.prefill_rate,
@@ -133,14 +133,14 @@
             .collect()
     }
 
-    /// Requests a second that all engines can answer, by the slower of prefill and decoding.
+    /// Requests a second that the engines can answer in all; the slower of prefill and decoding limits each.
     pub fn capacity(&self) -> f64 {
         let shares: f64 = self.tiers.iter().map(|tier| tier.share).sum();
         let mean = |range: fn(&Tier) -> [f64; 2]| -> f64 {
             let parts = self
                 .tiers
                 .iter()
-                .map(|tier| tier.share * log_mean(range(tier)));
+                .map(|tier| tier.share * log_uniform_mean(range(tier)));
             parts.sum::<f64>() / shares
         };
         let (prompt, answer) = (mean(|tier| tier.prompt), mean(|tier| tier.answer));
@@ -154,7 +154,7 @@
         self.engines.iter().map(engine).sum()
     }
 
-    /// The configuration of a fleet of this shape; a tier's account has its name as key.
+    /// The configuration of a fleet of this shape; each tier has one account, with the name of the tier as key.
     pub fn configuration(&self) -> String {
         let tiers = self.tiers.iter().map(|tier| {
             format!(
@@ -177,7 +177,7 @@
         )
     }
 
-    /// Arrivals at random times for so long; the same seed gives the same.
+    /// Poisson arrivals until `time`, at `load` times the capacity; the same seed gives the same arrivals.
     pub fn arrivals(
         &self,
         seed: u64,
@@ -190,14 +190,14 @@
         let mut at = Duration::ZERO;
         let mut arrivals = Vec::new();
         loop {
-            let bursting = burst.is_some_and(|burst| burst.from <= at && at < burst.to);
-            let rate = if bursting { rate * 2.0 } else { rate };
+            let in_burst = burst.is_some_and(|burst| burst.from <= at && at < burst.to);
+            let rate = if in_burst { rate * 2.0 } else { rate };
             at += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / rate);
             if at >= time {
                 return arrivals;
             }
             let mut arrival = self.arrival(&mut rng, at, arrivals.len());
-            if bursting && rng.bool() {
+            if in_burst && rng.bool() {
                 arrival.host = 0;
             }
             arrivals.push(arrival);
@@ -213,13 +213,13 @@
             index += 1;
         }
         let tier = &self.tiers[index];
-        let tokens = log_even(rng, tier.prompt);
+        let tokens = log_uniform(rng, tier.prompt);
         let prefix = format!("{}-{} ", tier.name, rng.u32(0..PREFIXES));
-        let tail = format!("{}-{number} ", tier.name);
+        let unique_part = format!("{}-{number} ", tier.name);
         let bytes = tokens as usize * TOKEN_BYTES;
         let common = rounded(f64::from(tokens) * tier.shared_prefix) as usize * TOKEN_BYTES;
-        let mut prompt = filled(&prefix, common);
-        prompt.push_str(&filled(&tail, bytes.saturating_sub(common)));
+        let mut prompt = repeat_to(&prefix, common);
+        prompt.push_str(&repeat_to(&unique_part, bytes.saturating_sub(common)));
         // Writing to a string cannot fail.
         let _ = write!(prompt, " number-{number}");
         Arrival {
@@ -227,29 +227,29 @@
             tier: index,
             host: rng.usize(0..self.hosts),
             prompt,
-            answer_tokens: log_even(rng, tier.answer),
+            answer_tokens: log_uniform(rng, tier.answer),
         }
     }
 }
 
-/// A text of so many bytes.
-fn filled(word: &str, bytes: usize) -> String {
+/// Repeats `word` to a text of exactly `bytes` bytes.
+fn repeat_to(word: &str, bytes: usize) -> String {
     let mut text = word.repeat(bytes / word.len() + 1);
     text.truncate(bytes);
     text
 }
 
-/// A number between two, even on a logarithmic scale.
-fn log_even(rng: &mut Rng, [least, most]: [f64; 2]) -> u32 {
-    rounded((least.ln() + rng.f64() * (most.ln() - least.ln())).exp())
+/// Draws a number from a log-uniform distribution.
+fn log_uniform(rng: &mut Rng, [min, max]: [f64; 2]) -> u32 {
+    rounded((min.ln() + rng.f64() * (max.ln() - min.ln())).exp())
 }
 
-/// The mean of such numbers.
-fn log_mean([least, most]: [f64; 2]) -> f64 {
-    if most <= least {
-        least
+/// The mean of a log-uniform distribution.
+fn log_uniform_mean([min, max]: [f64; 2]) -> f64 {
+    if max <= min {
+        min
     } else {
-        (most - least) / (most.ln() - least.ln())
+        (max - min) / (max.ln() - min.ln())
     }
 }
 
--- a/cypressvane_standin/src/bin/measure/ways.rs
+++ b/cypressvane_standin/src/bin/measure/ways.rs
@@ -1,5 +1,7 @@
-//! The ways that are compared. The baselines send straight to engines, as hosts without a common
-//! queue would, so that they pay nothing for a path through a host.
+//! The compared ways to dispatch requests to engines.
+//!
+//! The baselines send directly to engines, as hosts without a shared queue would. They therefore have no
+//! overhead of a path through a host.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,24 +15,24 @@
 use cypressvane_standin::fleet;
 use smol::{Task, Timer};
 
-/// Time between two reads of the engines' reports.
-const REPORTS: Duration = Duration::from_secs(1);
+/// Interval between two reads of the load reports of the engines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How requests come to engines.
+/// A way to dispatch requests to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Through hosts that ask the home of the pool.
+    /// Through hosts, where the home of the pool chooses the engine.
     Home,
-    /// Each host in turn.
+    /// Each host uses the engines in turn.
     RoundRobin,
-    /// To the engine that reported the least load.
+    /// Each host uses the engine with the least reported load.
     LeastLoad,
-    /// To the less loaded of two at random.
+    /// Each host uses the one with the lower reported load of two random engines.
     TwoChoices,
 }
 
 impl Way {
-    /// Its name on the command line.
+    /// The name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Home => "home",
@@ -58,7 +60,7 @@
     }
 }
 
-/// A host without a home: it chooses by what the engines report.
+/// A baseline host, which chooses engines by itself, by turn or by reported load.
 #[derive(Debug)]
 pub struct Chooser {
     way: Way,
@@ -69,10 +71,10 @@
 }
 
 impl Chooser {
-    /// Starts to read the reports.
+    /// Creates a chooser that reads the load reports in the background.
     pub fn spawn(way: Way, engines: Vec<SocketAddr>, first_turn: usize) -> Self {
         let loads = Arc::new(Mutex::new(vec![Load::default(); engines.len()]));
-        let reading = runtime::spawn(read(engines.clone(), Arc::clone(&loads)));
+        let reading = runtime::spawn(poll_reports(engines.clone(), Arc::clone(&loads)));
         let turn = AtomicUsize::new(first_turn);
         Self {
             way,
@@ -92,23 +94,23 @@
             Way::RoundRobin | Way::Home => self.turn.fetch_add(1, Ordering::Relaxed) % count,
             Way::LeastLoad => (0..count).min_by_key(load).unwrap_or(0),
             Way::TwoChoices => {
-                let two = [fastrand::usize(0..count), fastrand::usize(0..count)];
-                two.into_iter().min_by_key(load).unwrap_or(0)
+                let candidates = [fastrand::usize(0..count), fastrand::usize(0..count)];
+                candidates.into_iter().min_by_key(load).unwrap_or(0)
             }
         };
         self.engines[index]
     }
 }
 
-async fn read(engines: Vec<SocketAddr>, loads: Arc<Mutex<Vec<Load>>>) {
+async fn poll_reports(engines: Vec<SocketAddr>, loads: Arc<Mutex<Vec<Load>>>) {
     loop {
         for (index, engine) in engines.iter().enumerate() {
             let load: io::Result<Load> = fleet::get(*engine, "/load").await;
-            // An engine that does not answer keeps its last report.
+            // If an engine does not answer, its last report stays in use.
             if let Ok(load) = load {
                 loads.lock().unwrap_or_else(PoisonError::into_inner)[index] = load;
             }
         }
-        Timer::after(REPORTS).await;
+        Timer::after(REPORT_INTERVAL).await;
     }
 }
--- a/cypressvane_standin/src/bin/path.rs
+++ b/cypressvane_standin/src/bin/path.rs
@@ -1,4 +1,4 @@
-//! Measures what the path through a host costs over a direct call to the same engine.
+//! Measures the overhead of a call through a host over a direct call to the same engine.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
@@ -14,19 +14,20 @@
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY};
 use cypressvane_standin::{engine, usage};
 
-/// The caller's key.
+/// The key of the caller's account.
 const KEY: &str = "path-key";
-/// The model.
+/// The name of the model.
 const MODEL: &str = "echo";
-/// Pairs of calls, one direct and one through the host.
+/// Number of pairs of calls, one direct and one through the host.
 const PAIRS: usize = 2_000;
-/// Pairs before the figures count.
+/// Number of warm-up pairs, which are not measured.
 const WARM_UP: usize = 200;
-/// Streams at once, and tokens of each, for the cost of a token.
+/// Number of concurrent streams in the measurement of the cost of a token.
 const STREAMS: usize = 64;
+/// Number of tokens of each of these streams.
 const STREAM_TOKENS: u32 = 3_000;
-/// Open streams for the memory.
-const OPEN: usize = 1_000;
+/// Number of open streams in the measurement of memory.
+const OPEN_STREAMS: usize = 1_000;
 
 fn main() -> ExitCode {
     runtime::start(1);
@@ -68,7 +69,7 @@
     )
 }
 
-/// Calls direct and through the host in turn, and compares.
+/// Calls the engine directly and through the host in turn, and prints both times and their difference.
 async fn added_time(fleet: &Fleet, engine: usize) -> io::Result<()> {
     let direct = fleet.backends[engine].address("address");
     let through = fleet.callers(0);
@@ -76,7 +77,7 @@
     let mut times: [Vec<Answer>; 2] = [Vec::new(), Vec::new()];
     for pair in 0..PAIRS + WARM_UP {
         for (index, address) in [direct, through].into_iter().enumerate() {
-            let answer = checked(address, &request).await?;
+            let answer = ask_checked(address, &request).await?;
             if pair >= WARM_UP {
                 times[index].push(answer);
             }
@@ -108,14 +109,14 @@
     Ok(())
 }
 
-/// Many fast streams at once: processor time of the host for each token.
+/// Prints the processor time of the host for each token of many fast concurrent streams.
 async fn token_cost(fleet: &Fleet) -> io::Result<()> {
     let id = fleet.host(0).id();
     let before = usage::of(id)?;
     let begun = Instant::now();
     let request = Ask::new(KEY, MODEL, "cost").streamed(STREAM_TOKENS);
     let address = fleet.callers(0);
-    run_together(address, &request, STREAMS).await?;
+    run_concurrently(address, &request, STREAMS).await?;
     let tokens = f64::from(STREAM_TOKENS) * u32::try_from(STREAMS).map_or(0.0, f64::from);
     let used = usage::of(id)?
         .processor
@@ -131,7 +132,7 @@
     Ok(())
 }
 
-/// Many slow streams at once: memory of the host.
+/// Prints the memory of the host for each of many slow concurrent streams.
 async fn open_streams(fleet: &Fleet, engine: usize) -> io::Result<()> {
     let slow = engine::Settings {
         decode_ms: 50.0,
@@ -143,54 +144,55 @@
     let before = usage::of(id)?;
     let request = Ask::new(KEY, MODEL, "open").streamed(8);
     let address = fleet.callers(0);
-    let running = runtime::spawn(async move { run_together(address, &request, OPEN).await });
+    let tasks =
+        runtime::spawn(async move { run_concurrently(address, &request, OPEN_STREAMS).await });
     fleet
         .until("all streams are open", async || {
             fleet
                 .dump(0)
                 .await
-                .is_ok_and(|dump| dump.held == OPEN as u64)
+                .is_ok_and(|dump| dump.held == OPEN_STREAMS as u64)
         })
         .await?;
     smol::Timer::after(Duration::from_secs(1)).await;
     let open = usage::of(id)?;
     println!(
-        "\n{OPEN} open streams: {:.1} MB resident, {:.1} MB before, {:.1} KB a stream",
-        mega(open.resident),
-        mega(before.resident),
-        mega(open.resident.saturating_sub(before.resident)) * 1e3
-            / u32::try_from(OPEN).map_or(1.0, f64::from)
+        "\n{OPEN_STREAMS} open streams: {:.1} MB resident, {:.1} MB before, {:.1} KB a stream",
+        megabytes(open.resident),
+        megabytes(before.resident),
+        megabytes(open.resident.saturating_sub(before.resident)) * 1e3
+            / u32::try_from(OPEN_STREAMS).map_or(1.0, f64::from)
     );
-    running.await
+    tasks.await
 }
 
-async fn run_together(address: SocketAddr, request: &Ask, count: usize) -> io::Result<()> {
-    let mut running = Vec::new();
+async fn run_concurrently(address: SocketAddr, request: &Ask, count: usize) -> io::Result<()> {
+    let mut tasks = Vec::new();
     for _ in 0..count {
         let request = request.clone();
-        running.push(runtime::spawn(
-            async move { checked(address, &request).await },
-        ));
+        tasks.push(runtime::spawn(async move {
+            ask_checked(address, &request).await
+        }));
     }
-    for answer in running {
+    for answer in tasks {
         answer.await?;
     }
     Ok(())
 }
 
-/// Calls and checks that the answer is whole and its own.
-async fn checked(address: SocketAddr, request: &Ask) -> io::Result<Answer> {
+/// Sends a request and checks that the answer is complete and has the expected text.
+async fn ask_checked(address: SocketAddr, request: &Ask) -> io::Result<Answer> {
     let answer = ask(address, request).await.map_err(io::Error::other)?;
     if !answer.whole || answer.text != request.expected() {
         return Err(io::Error::other(format!(
-            "an answer is not whole: {:?}",
+            "an answer is incomplete or has the wrong text: {:?}",
             answer.error
         )));
     }
     Ok(answer)
 }
 
-/// A percentile in milliseconds.
+/// A percentile of the times of answers, in milliseconds.
 fn percentile(answers: &[Answer], time: fn(&Answer) -> Duration, share: f64) -> f64 {
     let mut times: Vec<Duration> = answers.iter().map(time).collect();
     times.sort();
@@ -204,6 +206,6 @@
     times[index.min(times.len() - 1)].as_secs_f64() * 1e3
 }
 
-fn mega(bytes: u64) -> f64 {
+fn megabytes(bytes: u64) -> f64 {
     u32::try_from(bytes / 1000).map_or(f64::INFINITY, f64::from) / 1e3
 }
--- a/cypressvane_standin/src/bin/slopes/fit.rs
+++ b/cypressvane_standin/src/bin/slopes/fit.rs
@@ -1,29 +1,29 @@
-//! A straight line through measured points, and how far the points lie off it.
+//! Least-squares fit of a line to measured points, with the largest residual.
 
 /// Measured values of one quantity at several sizes.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// What was measured, with its unit.
+    /// The measured quantity, with its unit.
     pub quantity: &'static str,
-    /// What was varied.
+    /// The quantity that was varied.
     pub size: &'static str,
-    /// Size and value.
+    /// Pairs of size and value.
     pub points: Vec<(f64, f64)>,
 }
 
-/// The line of a series.
+/// The fitted line of a series.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Value for each unit of size.
+    /// Change of the value for each unit of size.
     pub slope: f64,
     /// Value at size zero.
-    pub start: f64,
-    /// Largest distance of a point from the line, as a share of the largest value.
+    pub intercept: f64,
+    /// Largest vertical distance of a point from the line, as a share of the largest absolute value.
     pub residual: f64,
 }
 
 impl Series {
-    /// A series without points.
+    /// Creates a series without points.
     pub fn new(quantity: &'static str, size: &'static str) -> Self {
         Self {
             quantity,
@@ -37,33 +37,37 @@
         self.points.push((size, value));
     }
 
-    /// The line of least squares.
+    /// Fits a line by least squares.
     pub fn line(&self) -> Line {
         let count = self.points.iter().map(|_| 1.0).sum::<f64>();
         let mean =
             |value: fn(&(f64, f64)) -> f64| self.points.iter().map(value).sum::<f64>() / count;
         let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
-        let spread: f64 = self.points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let joint: f64 = self
+        let squares: f64 = self.points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let products: f64 = self
             .points
             .iter()
             .map(|(x, y)| (x - mean_x) * (y - mean_y))
             .sum();
-        let slope = if spread > 0.0 { joint / spread } else { 0.0 };
-        let start = mean_y - slope * mean_x;
+        let slope = if squares > 0.0 {
+            products / squares
+        } else {
+            0.0
+        };
+        let intercept = mean_y - slope * mean_x;
         let largest = self.points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
-        let off = self
+        let residuals = self
             .points
             .iter()
-            .map(|(x, y)| (y - start - slope * x).abs());
+            .map(|(x, y)| (y - intercept - slope * x).abs());
         let residual = if largest > 0.0 {
-            off.fold(0.0, f64::max) / largest
+            residuals.fold(0.0, f64::max) / largest
         } else {
             0.0
         };
         Line {
             slope,
-            start,
+            intercept,
             residual,
         }
     }
@@ -77,7 +81,7 @@
         }
         println!(
             "  value = {:.6} + {:.8} x {}; largest residual {:.1}%",
-            line.start,
+            line.intercept,
             line.slope,
             self.size,
             line.residual * 100.0
--- a/cypressvane_standin/src/bin/slopes/main.rs
+++ b/cypressvane_standin/src/bin/slopes/main.rs
@@ -1,7 +1,7 @@
-//! Measures how the cost of control grows: with hosts, requests, servers, accounts and changes.
+//! Measures how the cost of coordination grows with hosts, requests, backend servers, accounts and offers.
 //!
-//! Prints each measured point, the line through them and how far they lie off it. `docs/CAPACITY.md`
-//! is worked out from what this prints.
+//! Prints each measured point, the fitted line and its largest residual. The figures in `docs/CAPACITY.md`
+//! are derived from this output.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
@@ -15,17 +15,17 @@
 
 use cypressvane::runtime;
 
-/// Worker threads of the measuring process.
+/// Number of worker threads.
 const THREADS: usize = 2;
-/// Hosts that idle together.
+/// Numbers of idle hosts.
 const HOSTS: [usize; 4] = [4, 8, 16, 32];
-/// Requests a second at each host.
+/// Request rates, a second at each host.
 const RATES: [u32; 3] = [10, 20, 40];
-/// Backend servers in the host list.
+/// Numbers of backend servers in the host list.
 const SERVERS: [usize; 4] = [22, 340, 1_000, 3_400];
-/// Client accounts.
+/// Numbers of client accounts.
 const ACCOUNTS: [usize; 4] = [5, 1_000, 10_000, 33_000];
-/// Offers that wait in one pool.
+/// Numbers of offers that wait in one pool.
 const WAITING: [u32; 3] = [100, 1_000, 10_000];
 
 fn main() -> ExitCode {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Runs all parts, or those named on the command line.
+/// Runs all measurements, or those named on the command line.
 async fn run(wanted: &[String]) -> io::Result<()> {
     let is_wanted = |name: &str| wanted.is_empty() || wanted.iter().any(|wanted| wanted == name);
     if is_wanted("hosts") {
--- a/cypressvane_standin/src/bin/slopes/sizes.rs
+++ b/cypressvane_standin/src/bin/slopes/sizes.rs
@@ -1,4 +1,4 @@
-//! One function for each thing that grows.
+//! The measurements, one function for each quantity that is varied.
 
 use std::fmt::Write as _;
 use std::io;
@@ -15,26 +15,26 @@
 use smol::Timer;
 
 use crate::fit::Series;
-use crate::watch::{Used, count, real, watch};
+use crate::watch::{HostUsage, count_to_f64, measure, to_f64};
 
-/// How long idle hosts are watched.
+/// Measuring time of idle hosts.
 const IDLE: Duration = Duration::from_secs(6);
-/// How long hosts under load are watched.
+/// Measuring time of hosts under load.
 const LOADED: Duration = Duration::from_secs(6);
-/// Rest before hosts are watched, so that start-up is over.
+/// Pause before a measurement, so that start-up is over; also the time that load lasts after it.
 const SETTLE: Duration = Duration::from_secs(3);
-/// Hosts under load.
+/// Number of hosts under load.
 const LOAD_HOSTS: usize = 7;
-/// Engines under load.
+/// Number of engines under load.
 const LOAD_ENGINES: usize = 6;
-/// Decisions that are timed at each size.
+/// Number of timed decisions for each size.
 const DECISIONS: u32 = 20_000;
-/// The model.
+/// The name of the model.
 const MODEL: &str = "echo";
-/// The callers' key.
+/// The key of the caller's account.
 const KEY: &str = "account-0";
 
-/// A configuration with so many accounts, whose keys are their names.
+/// A configuration with `accounts` accounts, whose keys are their names.
 fn configuration(accounts: usize, requests_per_second: u32) -> String {
     let mut text = format!(
         "[[tiers]]\nname = \"only\"\nfirst_token_ms = 460\nbetween_tokens_ms = 41\n\
@@ -64,7 +64,7 @@
     Ok(fleet)
 }
 
-/// The three series that every part prints.
+/// The three series that are common to all measurements of hosts.
 struct Costs {
     processor: Series,
     memory: Series,
@@ -80,7 +80,7 @@
         }
     }
 
-    fn add(&mut self, size: f64, used: &Used) {
+    fn add(&mut self, size: f64, used: &HostUsage) {
         self.processor.add(size, used.processor_percent);
         self.memory.add(size, used.resident_mb);
         self.bytes.add(size, used.peer_bytes);
@@ -93,7 +93,7 @@
     }
 }
 
-/// Idle hosts of one region that keep links to each other.
+/// Measures idle hosts of one region, which keep links to each other.
 pub async fn hosts(sizes: &[usize]) -> io::Result<()> {
     let mut costs = Costs::new("hosts of a region");
     let mut reads = Series::new(
@@ -109,10 +109,10 @@
         fleet.submit(0, &configuration(5, 1_000)).await?;
         fleet.linked().await?;
         Timer::after(SETTLE).await;
-        let used = watch(&fleet, IDLE).await?;
-        costs.add(real(*size), &used);
-        reads.add(real(*size), used.reads);
-        lists.add(real(*size), used.lists);
+        let used = measure(&fleet, IDLE).await?;
+        costs.add(to_f64(*size), &used);
+        reads.add(to_f64(*size), used.reads);
+        lists.add(to_f64(*size), used.lists);
     }
     costs.print();
     reads.print();
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// Requests over seven hosts, whose homes are mostly other hosts, and over one, its own home.
+/// Measures requests at seven hosts, where homes are mostly on other hosts, and at one, where they are local.
 pub async fn requests(rates: &[u32]) -> io::Result<()> {
     for hosts in [LOAD_HOSTS, 1] {
         println!("\n== {hosts} hosts");
@@ -149,7 +149,7 @@
         let all = at_one * u32::try_from(hosts).unwrap_or(1);
         let load = runtime::spawn(load(addresses, all, SETTLE + LOADED + SETTLE));
         Timer::after(SETTLE).await;
-        let used = watch(&fleet, LOADED).await?;
+        let used = measure(&fleet, LOADED).await?;
         load.await?;
         costs.add(f64::from(*at_one), &used);
         messages.add(f64::from(*at_one), used.peer_messages);
@@ -159,24 +159,24 @@
     Ok(())
 }
 
-/// Sends so many requests a second in all, by the schedule, for a while.
+/// Sends `rate` requests a second on schedule for `time`, to the addresses in turn.
 async fn load(addresses: Vec<SocketAddr>, rate: u32, time: Duration) -> io::Result<()> {
     let begun = Instant::now();
-    let mut running = Vec::new();
+    let mut tasks = Vec::new();
     let mut sent = 0_u32;
     while rate > 0 && begun.elapsed() < time {
         let address = addresses[sent as usize % addresses.len()];
         let request = Ask::new(KEY, MODEL, "a request of a few words").streamed(8);
-        running.push(runtime::spawn(async move { ask(address, &request).await }));
+        tasks.push(runtime::spawn(async move { ask(address, &request).await }));
         sent += 1;
         let due = Duration::from_secs(1) * sent / rate;
         Timer::after(due.saturating_sub(begun.elapsed())).await;
     }
-    for request in running {
-        let answer = request.await.map_err(io::Error::other)?;
+    for task in tasks {
+        let answer = task.await.map_err(io::Error::other)?;
         if !answer.whole {
             return Err(io::Error::other(format!(
-                "an answer is not whole: {:?}",
+                "an answer is incomplete: {:?}",
                 answer.error
             )));
         }
@@ -184,7 +184,7 @@
     Ok(())
 }
 
-/// Backend servers in the host list of one host.
+/// Measures one idle host by the number of backend servers in the host list.
 pub async fn servers(sizes: &[usize]) -> io::Result<()> {
     let mut costs = Costs::new("backend servers in the host list");
     let mut list = Series::new("bytes of the host list", "backend servers in the host list");
@@ -207,17 +207,20 @@
             });
         }
         fleet.publish().await?;
-        list.add(real(*size), real(serde_json::to_vec(&fleet.entries)?.len()));
+        list.add(
+            to_f64(*size),
+            to_f64(serde_json::to_vec(&fleet.entries)?.len()),
+        );
         Timer::after(SETTLE).await;
-        let used = watch(&fleet, IDLE).await?;
-        costs.add(real(*size), &used);
+        let used = measure(&fleet, IDLE).await?;
+        costs.add(to_f64(*size), &used);
     }
     costs.print();
     list.print();
     Ok(())
 }
 
-/// Client accounts of the configuration.
+/// Measures two hosts by the number of client accounts: idle, and during a change of the configuration.
 pub async fn accounts(sizes: &[usize]) -> io::Result<()> {
     let mut costs = Costs::new("client accounts");
     let mut applied = Series::new(
@@ -233,22 +236,22 @@
         let fleet = fleet_of(2).await?;
         fleet.submit(0, &configuration(*size, 1_000)).await?;
         Timer::after(SETTLE).await;
-        costs.add(real(*size), &watch(&fleet, IDLE).await?);
+        costs.add(to_f64(*size), &measure(&fleet, IDLE).await?);
         let changed = configuration(*size, 1_000).replacen("= 1000\n", "= 999\n", 1);
         let before = fleet.stats().await?;
         let begun = Instant::now();
         fleet.submit(0, &changed).await?;
         let time = begun.elapsed();
         let after = fleet.stats().await?;
-        applied.add(real(*size), time.as_secs_f64() * 1e3);
+        applied.add(to_f64(*size), time.as_secs_f64() * 1e3);
         let polls = time.as_secs_f64().ceil() * 2.0;
         reads.add(
-            real(*size),
-            (count(after.reads - before.reads) - polls).max(0.0) / 2.0,
+            to_f64(*size),
+            (count_to_f64(after.reads - before.reads) - polls).max(0.0) / 2.0,
         );
         moved.add(
-            real(*size),
-            count(after.read_bytes - before.read_bytes) / 2.0,
+            to_f64(*size),
+            count_to_f64(after.read_bytes - before.read_bytes) / 2.0,
         );
     }
     costs.print();
@@ -258,7 +261,7 @@
     Ok(())
 }
 
-/// Decisions of one home, without sockets.
+/// Measures the time of decisions of one pool at its home, without sockets.
 pub fn decisions(servers: &[usize], waiting: &[u32]) {
     for waiting in waiting {
         let mut p50 = Series::new(
@@ -270,11 +273,11 @@
             "backend servers in view",
         );
         for size in servers {
-            let mut times = timed(*size, *waiting);
+            let mut times = time_decisions(*size, *waiting);
             times.sort();
             let at = |share: usize| times[times.len() * share / 100].as_secs_f64() * 1e6;
-            p50.add(real(*size), at(50));
-            p99.add(real(*size), at(99));
+            p50.add(to_f64(*size), at(50));
+            p99.add(to_f64(*size), at(99));
         }
         println!("\n== {waiting} waiting");
         p50.print();
@@ -282,8 +285,8 @@
     }
 }
 
-/// Times offers while so many others wait: each is one offer, one first token and one end.
-fn timed(servers: usize, waiting: u32) -> Vec<Duration> {
+/// Times decisions while `waiting` offers wait; each decision is one offer, one first token and one end.
+fn time_decisions(servers: usize, waiting: u32) -> Vec<Duration> {
     let now = Instant::now();
     let mut pool = Pool::new(MODEL.into(), waiting as usize + 10);
     let spec = |index: usize| Spec {
@@ -296,9 +299,9 @@
     };
     let specs: Vec<Spec> = (0..servers).map(spec).collect();
     pool.set_servers(&specs, now);
-    let mut running = Vec::new();
+    let mut granted = Vec::new();
     let mut next = 0;
-    let mut offer = |pool: &mut Pool, running: &mut Vec<Ticket>| {
+    let mut offer = |pool: &mut Pool, granted: &mut Vec<Ticket>| {
         next += 1;
         let ticket = Ticket {
             holder: "host".into(),
@@ -324,29 +327,29 @@
             opening: None,
             data_centre: None,
         };
-        take(pool.offer(offer, now), running);
+        collect_grants(pool.offer(offer, now), granted);
     };
     while pool.waiting() < waiting as usize {
-        offer(&mut pool, &mut running);
+        offer(&mut pool, &mut granted);
     }
     let mut times = Vec::new();
     for _ in 0..DECISIONS {
         let begun = Instant::now();
-        offer(&mut pool, &mut running);
-        if !running.is_empty() {
-            let ticket = running.swap_remove(0);
-            take(pool.first_token(&ticket, now), &mut running);
-            take(pool.finish(&ticket, End::Whole, now), &mut running);
+        offer(&mut pool, &mut granted);
+        if !granted.is_empty() {
+            let ticket = granted.swap_remove(0);
+            collect_grants(pool.first_token(&ticket, now), &mut granted);
+            collect_grants(pool.finish(&ticket, End::Whole, now), &mut granted);
         }
         times.push(begun.elapsed());
     }
     times
 }
 
-fn take(actions: Vec<Action>, running: &mut Vec<Ticket>) {
+fn collect_grants(actions: Vec<Action>, granted: &mut Vec<Ticket>) {
     for action in actions {
         if let Action::Grant { ticket, .. } = action {
-            running.push(ticket);
+            granted.push(ticket);
         }
     }
 }
--- a/cypressvane_standin/src/bin/slopes/watch.rs
+++ b/cypressvane_standin/src/bin/slopes/watch.rs
@@ -1,4 +1,4 @@
-//! What hosts use over a stretch of time.
+//! Measures the resource usage of hosts over a period.
 
 use std::io;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use cypressvane_standin::usage;
 use smol::Timer;
 
-/// What the hosts of a fleet used, as the mean of one host.
+/// Mean resource usage of one host of a fleet.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Used {
-    /// Share of one core, in percent.
+pub struct HostUsage {
+    /// Processor time, in percent of one core.
     pub processor_percent: f64,
-    /// Resident memory at the end, in MB.
+    /// Resident memory at the end of the period, in MB.
     pub resident_mb: f64,
-    /// Bytes of frames to other hosts, a second.
+    /// Bytes of frames sent to other hosts, a second.
     pub peer_bytes: f64,
-    /// Messages to other hosts, a second.
+    /// Messages sent to other hosts, a second.
     pub peer_messages: f64,
     /// Reads of the table, a second.
     pub reads: f64,
@@ -25,8 +25,8 @@
     pub lists: f64,
 }
 
-/// Sums at one moment.
-struct Sums {
+/// Totals over all hosts of a fleet at one time.
+struct Totals {
     at: Instant,
     processor: Duration,
     resident: u64,
@@ -36,8 +36,8 @@
     lists: u64,
 }
 
-async fn sums(fleet: &Fleet) -> io::Result<Sums> {
-    let mut sums = Sums {
+async fn totals(fleet: &Fleet) -> io::Result<Totals> {
+    let mut totals = Totals {
         at: Instant::now(),
         processor: Duration::ZERO,
         resident: 0,
@@ -48,48 +48,48 @@
     };
     for index in fleet.running() {
         let used = usage::of(fleet.host(index).id())?;
-        sums.processor += used.processor;
-        sums.resident += used.resident;
-        sums.peer_bytes += fleet.metric(index, "cypressvane_peer_bytes_total ").await?;
-        sums.peer_messages += fleet
+        totals.processor += used.processor;
+        totals.resident += used.resident;
+        totals.peer_bytes += fleet.metric(index, "cypressvane_peer_bytes_total ").await?;
+        totals.peer_messages += fleet
             .metric(index, "cypressvane_peer_messages_total ")
             .await?;
     }
     let stats = fleet.stats().await?;
-    sums.reads = stats.reads;
-    sums.lists = stats.lists;
-    Ok(sums)
+    totals.reads = stats.reads;
+    totals.lists = stats.lists;
+    Ok(totals)
 }
 
-/// Watches the hosts of a fleet for a while.
-pub async fn watch(fleet: &Fleet, time: Duration) -> io::Result<Used> {
-    let before = sums(fleet).await?;
+/// Measures the usage of the hosts of a fleet for `time`.
+pub async fn measure(fleet: &Fleet, time: Duration) -> io::Result<HostUsage> {
+    let before = totals(fleet).await?;
     Timer::after(time).await;
-    let after = sums(fleet).await?;
-    let hosts = real(fleet.running().count());
+    let after = totals(fleet).await?;
+    let hosts = to_f64(fleet.running().count());
     let seconds = after.at.saturating_duration_since(before.at).as_secs_f64();
     let each = |total: f64| total / hosts / seconds;
     let processor = after
         .processor
         .saturating_sub(before.processor)
         .as_secs_f64();
-    Ok(Used {
+    Ok(HostUsage {
         processor_percent: each(processor) * 100.0,
-        resident_mb: count(after.resident) / 1e6 / hosts,
+        resident_mb: count_to_f64(after.resident) / 1e6 / hosts,
         peer_bytes: each(after.peer_bytes - before.peer_bytes),
         peer_messages: each(after.peer_messages - before.peer_messages),
-        reads: each(count(after.reads - before.reads)),
-        lists: each(count(after.lists - before.lists)),
+        reads: each(count_to_f64(after.reads - before.reads)),
+        lists: each(count_to_f64(after.lists - before.lists)),
     })
 }
 
-/// A number of things as a real number.
-pub fn real(number: usize) -> f64 {
+/// Converts a count; infinity if it exceeds 32 bits.
+pub fn to_f64(number: usize) -> f64 {
     u32::try_from(number).map_or(f64::INFINITY, f64::from)
 }
 
-/// A large count as a real number.
+/// Converts a large count; precise up to 53 bits.
 #[allow(clippy::cast_precision_loss, reason = "a figure for a table")]
-pub fn count(number: u64) -> f64 {
+pub fn count_to_f64(number: u64) -> f64 {
     number as f64
 }
--- a/cypressvane_standin/src/bin/soak/faults.rs
+++ b/cypressvane_standin/src/bin/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn one after the other.
+//! Injects random faults, one at a time.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,25 +18,30 @@
 
 use crate::{SETTINGS, configuration};
 
-/// Longest time that a host may take to end.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Operators that submit at the same moment.
-const OPERATORS: u64 = 5;
+/// Timeout of the exit of a host and of a submission.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of concurrent submissions of a configuration.
+const CONCURRENT_SUBMISSIONS: u64 = 5;
 
-/// The faults of a run, and what they left behind.
+/// Injects the faults of a run and records what the final checks need.
 pub struct Faults {
     proxies: Vec<proxy::Handle>,
+    /// Number of faults so far.
     count: u64,
+    /// Number of faults so far, by kind.
     kinds: BTreeMap<&'static str, u64>,
+    /// The records of the accepted submissions.
     accepted: Vec<Record>,
+    /// Number of submissions, which makes each submitted configuration different.
     submitted: u64,
-    /// Highest version seen in force at each host's incarnation.
+    /// Highest version seen in force, by host and incarnation.
     versions: BTreeMap<(String, u64), u64>,
+    /// Violations: hosts that went back to a lower version.
     reverted: Vec<String>,
 }
 
 impl Faults {
-    /// Puts a proxy before each engine.
+    /// Replaces the address of each engine in the host list by that of a proxy.
     pub fn new(fleet: &mut Fleet) -> io::Result<Self> {
         let mut proxies = Vec::new();
         for entry in &mut fleet.entries {
@@ -61,12 +66,12 @@
         self.count
     }
 
-    /// Number of each kind.
+    /// Number of faults so far, by kind.
     pub fn kinds(&self) -> &BTreeMap<&'static str, u64> {
         &self.kinds
     }
 
-    /// The highest version that an operator was told is accepted; the first at least.
+    /// The highest version of an accepted submission; 1, the version of the first configuration, if there is none.
     pub fn accepted(&self) -> u64 {
         self.accepted
             .iter()
@@ -75,36 +80,39 @@
             .unwrap_or(1)
     }
 
-    /// Draws a fault, lets it last, and mends it.
-    pub async fn next(&mut self, fleet: &mut Fleet, rng: &mut Rng) -> io::Result<()> {
+    /// Injects a random fault, waits for a random time and ends the fault.
+    pub async fn inject_next(&mut self, fleet: &mut Fleet, rng: &mut Rng) -> io::Result<()> {
         let host = rng.usize(0..fleet.hosts.len());
         let engine = rng.usize(0..self.proxies.len());
-        let lasting = Duration::from_millis(rng.u64(200..2_500));
+        let duration = Duration::from_millis(rng.u64(200..2_500));
         let bytes = rng.u64(0..1_500);
         let kind = match rng.u8(0..9) {
-            0 => self.kill(fleet, host, lasting).await?,
-            1 => Self::freeze(fleet, host, lasting).await,
+            0 => self.kill(fleet, host, duration).await?,
+            1 => Self::freeze(fleet, host, duration).await,
             2 => Self::restart(fleet, host).await?,
             3 => {
                 let fault = Fault {
                     back: Way::CutAfter(bytes),
                     ..Fault::default()
                 };
-                self.disturb(engine, fault, lasting, "answers cut").await
+                self.inject_proxy_fault(engine, fault, duration, "answers cut")
+                    .await
             }
             4 => {
                 let fault = Fault {
                     forth: Way::CutAfter(bytes),
                     ..Fault::default()
                 };
-                self.disturb(engine, fault, lasting, "requests cut").await
+                self.inject_proxy_fault(engine, fault, duration, "requests cut")
+                    .await
             }
             5 => {
                 let fault = Fault {
                     back: Way::Freeze,
                     ..Fault::default()
                 };
-                self.disturb(engine, fault, lasting, "engine frozen").await
+                self.inject_proxy_fault(engine, fault, duration, "engine frozen")
+                    .await
             }
             6 => {
                 let table = if rng.bool() {
@@ -116,7 +124,7 @@
                     table,
                     ..Default::default()
                 };
-                Self::outage(fleet, &fault, lasting, "table out").await?
+                Self::inject_platform_fault(fleet, &fault, duration, "table out").await?
             }
             7 => {
                 let lost = rng.u64(1..20);
@@ -124,13 +132,13 @@
                     lose_write_answers: lost,
                     ..Default::default()
                 };
-                Self::outage(fleet, &fault, lasting, "write answers lost").await?
+                Self::inject_platform_fault(fleet, &fault, duration, "write answers lost").await?
             }
-            _ => self.race(fleet, rng).await,
+            _ => self.submit_concurrently(fleet, rng).await,
         };
         self.count += 1;
         *self.kinds.entry(kind).or_default() += 1;
-        self.watch(fleet).await;
+        self.record_versions(fleet).await;
         Ok(())
     }
 
@@ -138,19 +146,19 @@
         &mut self,
         fleet: &mut Fleet,
         host: usize,
-        lasting: Duration,
+        duration: Duration,
     ) -> io::Result<&'static str> {
         if let Some(mut process) = fleet.hosts[host].take() {
             process.kill();
         }
-        Timer::after(lasting).await;
+        Timer::after(duration).await;
         fleet.start_host(host, SETTINGS).await?;
         Ok("host killed")
     }
 
-    async fn freeze(fleet: &Fleet, host: usize, lasting: Duration) -> &'static str {
+    async fn freeze(fleet: &Fleet, host: usize, duration: Duration) -> &'static str {
         fleet.host(host).freeze();
-        Timer::after(lasting).await;
+        Timer::after(duration).await;
         fleet.host(host).resume();
         "host frozen"
     }
@@ -158,43 +166,43 @@
     async fn restart(fleet: &mut Fleet, host: usize) -> io::Result<&'static str> {
         if let Some(mut process) = fleet.hosts[host].take() {
             process.terminate();
-            let left = smol::unblock(move || process.wait(PATIENCE)).await;
-            left.ok_or_else(|| io::Error::other("a host did not leave"))?;
+            let status = smol::unblock(move || process.wait(TIMEOUT)).await;
+            status.ok_or_else(|| io::Error::other("a host did not exit after SIGTERM"))?;
         }
         fleet.start_host(host, SETTINGS).await?;
         Ok("host restarted")
     }
 
-    async fn disturb(
+    async fn inject_proxy_fault(
         &self,
         engine: usize,
         fault: Fault,
-        lasting: Duration,
+        duration: Duration,
         kind: &'static str,
     ) -> &'static str {
         self.proxies[engine].set(fault);
-        Timer::after(lasting).await;
+        Timer::after(duration).await;
         self.proxies[engine].set(Fault::default());
         kind
     }
 
-    async fn outage(
+    async fn inject_platform_fault(
         fleet: &Fleet,
         fault: &platform::Fault,
-        lasting: Duration,
+        duration: Duration,
         kind: &'static str,
     ) -> io::Result<&'static str> {
         fleet.set_fault(fault).await?;
-        Timer::after(lasting).await;
+        Timer::after(duration).await;
         fleet.set_fault(&platform::Fault::default()).await?;
         Ok(kind)
     }
 
-    /// Several operators submit at once at different hosts.
-    async fn race(&mut self, fleet: &Fleet, rng: &mut Rng) -> &'static str {
+    /// Submits several configurations concurrently at random hosts.
+    async fn submit_concurrently(&mut self, fleet: &Fleet, rng: &mut Rng) -> &'static str {
         let hosts: Vec<usize> = fleet.running().collect();
         let mut tasks = Vec::new();
-        for _ in 0..OPERATORS {
+        for _ in 0..CONCURRENT_SUBMISSIONS {
             self.submitted += 1;
             let host = hosts[rng.usize(0..hosts.len())];
             tasks.push(runtime::spawn(submit(
@@ -208,14 +216,14 @@
         "operators raced"
     }
 
-    /// Notes the versions in force; a host must never go back within its life.
-    async fn watch(&mut self, fleet: &Fleet) {
+    /// Records the versions in force; within an incarnation, the version of a host must not decrease.
+    async fn record_versions(&mut self, fleet: &Fleet) {
         for index in fleet.running() {
             let Ok(state) = fleet.state(index).await else {
                 continue;
             };
-            let life = (state.host.to_string(), state.incarnation);
-            let highest = self.versions.entry(life).or_default();
+            let host_incarnation = (state.host.to_string(), state.incarnation);
+            let highest = self.versions.entry(host_incarnation).or_default();
             if state.version < *highest {
                 self.reverted
                     .push(format!("{} went back to {}", state.host, state.version));
@@ -225,22 +233,22 @@
     }
 
     /// Ends all faults.
-    pub async fn heal(&mut self, fleet: &mut Fleet) -> io::Result<()> {
+    pub async fn clear(&mut self, fleet: &mut Fleet) -> io::Result<()> {
         for proxy in &self.proxies {
             proxy.set(Fault::default());
         }
         fleet.set_fault(&platform::Fault::default()).await
     }
 
-    /// What does not hold of the configuration in the end.
+    /// The violations in the distribution of the configuration; call it when all faults have ended.
     pub async fn violations(&self, fleet: &Fleet) -> io::Result<Vec<String>> {
-        let mut found = self.reverted.clone();
+        let mut violations = self.reverted.clone();
         let mut versions: Vec<u64> = self.accepted.iter().map(|record| record.version).collect();
         versions.sort_unstable();
         let all = versions.len();
         versions.dedup();
         if versions.len() != all {
-            found.push("two operators were told the same version is theirs".to_owned());
+            violations.push("two submissions were accepted with the same version".to_owned());
         }
         let mut digests = Vec::new();
         for index in fleet.running() {
@@ -248,18 +256,18 @@
         }
         digests.dedup();
         if digests.len() != 1 {
-            found.push(format!("hosts differ in the configuration: {digests:?}"));
+            violations.push(format!("hosts differ in the configuration: {digests:?}"));
         }
-        Ok(found)
+        Ok(violations)
     }
 }
 
-/// Submits a configuration; `None` unless it is accepted.
+/// Submits a configuration; returns its record, or `None` unless it was accepted.
 async fn submit(address: SocketAddr, text: String) -> Option<Record> {
     let mut request = client::request(Method::Post, address, "/v1/config");
     request.insert_header(AUTHORIZATION, format!("Bearer {OPERATOR_KEY}"));
     request.set_body(text);
-    let reply = client::call(address, request, 1 << 20, PATIENCE)
+    let reply = client::call(address, request, 1 << 20, TIMEOUT)
         .await
         .ok()?;
     if !reply.is_success() {
--- a/cypressvane_standin/src/bin/soak/main.rs
+++ b/cypressvane_standin/src/bin/soak/main.rs
@@ -1,4 +1,4 @@
-//! Runs a fleet under faults drawn from a seed, and checks what must always hold.
+//! Runs a fleet under load and random faults, and checks its invariants.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
@@ -24,28 +24,28 @@
 
 use crate::faults::Faults;
 
-/// Hosts of the fleet.
+/// Number of hosts.
 const HOSTS: usize = 5;
-/// Engines of the fleet.
+/// Number of engines.
 const ENGINES: usize = 4;
-/// Time between two requests.
-const GAP: Duration = Duration::from_millis(25);
-/// Attempts of a keyed request at further hosts.
+/// Interval between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+/// Number of retries of a request with an idempotency key.
 const RETRIES: usize = 2;
-/// Settings of the hosts: short silences, so that stuck requests end during the run.
+/// Settings of the hosts; short timeouts, so that stuck requests end during the run.
 const SETTINGS: &str = "[timeouts]\nsilence_ms = 3000\ngrace_ms = 300\n[logs]\nlevel = \"error\"\n";
-/// The model.
+/// The name of the model.
 const MODEL: &str = "echo";
-/// Keys of the accounts, which are also their names and tiers.
+/// Names of the tiers; each has one account with the same name and key.
 const TIERS: [&str; 3] = ["urgent", "patient", "cheap"];
 
-/// Runs a fleet under faults drawn from a seed, and checks what must always hold.
+/// Runs a fleet under load and random faults, and checks its invariants.
 #[derive(Debug, Parse)]
 struct Options {
     /// print this help
     #[options(help_flag)]
     help: bool,
-    /// what the faults are drawn from (default: at random, and printed)
+    /// seed of the faults and requests (default: random, and printed)
     #[options(no_short, meta = "NUMBER")]
     seed: Option<u64>,
     /// how long, in seconds
@@ -68,7 +68,7 @@
     }
 }
 
-/// The configuration; the number tells versions apart.
+/// A configuration that differs for each `number`.
 fn configuration(number: u64) -> String {
     use cypressvane::digest::hex;
     use cypressvane_standin::fleet::OPERATOR_KEY;
@@ -90,8 +90,8 @@
     )
 }
 
-/// Where callers can go at the moment.
-type Open = Arc<Mutex<Vec<SocketAddr>>>;
+/// The addresses of the running hosts for callers.
+type Addresses = Arc<Mutex<Vec<SocketAddr>>>;
 
 async fn soak(seed: u64, time: Duration) -> io::Result<bool> {
     let mut rng = Rng::with_seed(seed);
@@ -111,31 +111,31 @@
     }
     fleet.submit(0, &configuration(0)).await?;
     fleet.linked().await?;
-    let open: Open = Arc::default();
+    let addresses: Addresses = Arc::default();
     let stop = Arc::new(AtomicBool::new(false));
-    let load = runtime::spawn(load(Arc::clone(&open), Arc::clone(&stop), rng.fork()));
-    let begun = Instant::now();
-    while begun.elapsed() < time {
-        *open.lock().unwrap_or_else(PoisonError::into_inner) =
+    let load = runtime::spawn(load(Arc::clone(&addresses), Arc::clone(&stop), rng.fork()));
+    let started = Instant::now();
+    while started.elapsed() < time {
+        *addresses.lock().unwrap_or_else(PoisonError::into_inner) =
             fleet.running().map(|index| fleet.callers(index)).collect();
-        faults.next(&mut fleet, &mut rng).await?;
+        faults.inject_next(&mut fleet, &mut rng).await?;
     }
     stop.store(true, Ordering::Relaxed);
-    faults.heal(&mut fleet).await?;
-    let told = load.await;
+    faults.clear(&mut fleet).await?;
+    let calls = load.await;
     fleet.in_force(faults.accepted()).await?;
-    let mut found = violations(&told, &seen(&fleet, &engines).await?);
+    let mut found = violations(&calls, &seen(&fleet, &engines).await?);
     found.extend(faults.violations(&fleet).await?);
     let no = cypressvane::refusal::Ran::No;
     let unknown = cypressvane::refusal::Ran::Unknown;
     println!(
         "{} requests: {} whole, {} refused as not run, {} unknown, {} without a host; {} faults: \
          {:?}; {} versions accepted; violations: {}",
-        told.len(),
-        whole(&told),
-        ran(&told, no),
-        ran(&told, unknown),
-        told.iter().filter(|told| told.result.is_err()).count(),
+        calls.len(),
+        whole(&calls),
+        ran(&calls, no),
+        ran(&calls, unknown),
+        calls.iter().filter(|call| call.result.is_err()).count(),
         faults.count(),
         faults.kinds(),
         faults.accepted(),
@@ -147,14 +147,14 @@
     Ok(found.is_empty())
 }
 
-/// Sends requests until told to stop; a keyed one that fails is sent to further hosts.
-async fn load(open: Open, stop: Arc<AtomicBool>, mut rng: Rng) -> Vec<Told> {
+/// Sends requests until `stop` is set; one with an idempotency key is retried when it fails.
+async fn load(addresses: Addresses, stop: Arc<AtomicBool>, mut rng: Rng) -> Vec<Told> {
     let mut running = Vec::new();
     for number in 0_u64.. {
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        Timer::after(GAP).await;
+        Timer::after(REQUEST_INTERVAL).await;
         let tier = TIERS[rng.usize(0..TIERS.len())];
         let ask = Ask::new(
             tier,
@@ -173,31 +173,39 @@
             ask
         };
         let retries = if keyed { RETRIES } else { 0 };
-        running.push(runtime::spawn(attempt(
-            Arc::clone(&open),
+        running.push(runtime::spawn(send_with_retries(
+            Arc::clone(&addresses),
             ask,
             retries,
             rng.fork(),
         )));
     }
-    let mut told = Vec::new();
+    let mut calls = Vec::new();
     for task in running {
-        told.extend(task.await);
+        calls.extend(task.await);
     }
-    told
+    calls
 }
 
-/// Sends a request to a host, and to others when it fails.
-async fn attempt(open: Open, ask: Ask, retries: usize, mut rng: Rng) -> Vec<Told> {
+/// Sends a request to a random host, and retries it up to `retries` times until its answer is whole.
+async fn send_with_retries(
+    addresses: Addresses,
+    ask: Ask,
+    retries: usize,
+    mut rng: Rng,
+) -> Vec<Told> {
     let mut all = Vec::new();
     for _ in 0..=retries {
-        let addresses = open.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let addresses = addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         let Some(address) = rng.choice(addresses) else {
             break;
         };
-        let told = gather(vec![send(address, ask.clone())]).await;
-        let done = whole(&told) == 1;
-        all.extend(told);
+        let calls = gather(vec![send(address, ask.clone())]).await;
+        let done = whole(&calls) == 1;
+        all.extend(calls);
         if done {
             break;
         }
--- a/cypressvane_standin/src/bin/standin/cli.rs
+++ b/cypressvane_standin/src/bin/standin/cli.rs
@@ -1,15 +1,15 @@
-//! The command line of the stand-ins.
+//! The command line of the simulated services.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use gumdrop::Options as Parse;
 
-/// A free port on loopback.
+/// Any free port on loopback.
 fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Small stand-ins for what cypressvane meets.
+/// Simulated services for the tests of cypressvane.
 #[derive(Debug, Parse)]
 pub struct Options {
     /// print this help
--- a/cypressvane_standin/src/bin/standin/main.rs
+++ b/cypressvane_standin/src/bin/standin/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process; the first line that it prints says where it listens.
+//! Runs one simulated service as a process; its first line of output is JSON with its listen address.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
@@ -17,16 +17,16 @@
 
 use crate::cli::{Command, Options};
 
-/// Worker threads of a stand-in.
+/// Number of worker threads.
 const THREADS: usize = 1;
-/// The exit code of a wrong command line.
-const USAGE: u8 = 2;
+/// The exit code for a command line without a command.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let options = Options::parse_args_default_or_exit();
     let Some(command) = options.command else {
         eprintln!("standin: a command is missing\n\n{}", Options::usage());
-        return ExitCode::from(USAGE);
+        return ExitCode::from(USAGE_EXIT_CODE);
     };
     runtime::start(THREADS);
     match run(command) {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Starts a stand-in and never returns unless it fails.
+/// Starts a service and runs it until the process ends; returns only on an error.
 fn run(command: Command) -> io::Result<()> {
     match command {
         Command::Engine(engine) => {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Says where the stand-in listens and keeps it running.
+/// Prints the listen address of a service and keeps the service running.
 fn serve<T>(address: SocketAddr, _handle: &T) -> io::Result<()> {
     println!("{}", json!({ "address": address.to_string() }));
     smol::block_on(std::future::pending())
--- a/cypressvane_standin/src/caller.rs
+++ b/cypressvane_standin/src/caller.rs
@@ -101,7 +101,7 @@
 /// Sends a completion request and reads the answer to its end.
 ///
 /// # Errors
-/// When the connection fails, or breaks before the head of the answer.
+/// When there is no connection, or it breaks or `TIMEOUT` passes before the head of the answer.
 pub async fn ask(address: SocketAddr, ask: &Ask) -> Result<Answer, Error> {
     let begun = Instant::now();
     let mut request = client::request(Method::Post, address, "/v1/completions");
--- a/cypressvane_standin/tests/engine.rs
+++ b/cypressvane_standin/tests/engine.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn answers_and_breaks_off_as_ordered() {
+fn answers_and_cuts_streams_as_configured() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| runtime::start(2));
     let cases = [
