--- a/cypressvane_standin/tests/engine.rs
+++ b/cypressvane_standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's stand-in by itself: what it says and what its ledger counts.
+//! Tests the simulated engine alone: its answers, and the counts of its ledger.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Once;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn answers_and_breaks_off_as_ordered() {
+fn answers_and_cuts_streams_as_configured() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| runtime::start(2));
     let cases = [
