--- a/cypressvaned/src/cli.rs
+++ b/cypressvaned/src/cli.rs
@@ -2,10 +2,10 @@
 
 use std::path::PathBuf;
 
-/// A request scheduler for unlike engines: the daemon of an entry host.
+/// Schedules requests to backend servers of different speeds: the daemon of an entry host.
 ///
-/// Exit codes: 0 left with every request finished; 1 could not start or run; 2 wrong command line
-/// or settings; 3 left, but requests were cut at the end of the drain time.
+/// Exit codes: 0 drained with every request finished; 1 could not start or run; 2 invalid command
+/// line or settings; 3 drained, but requests were cut at the end of the drain time.
 #[allow(
     clippy::struct_excessive_bools,
     reason = "each is a flag of the command line"
@@ -21,7 +21,7 @@
     /// the settings file
     #[options(meta = "FILE")]
     pub config: Option<PathBuf>,
-    /// check the settings file and end
+    /// check the settings file and exit
     #[options(no_short)]
     pub check: bool,
     /// run alone on loopback with a built-in platform, engine and plain service
--- a/cypressvaned/src/dev.rs
+++ b/cypressvaned/src/dev.rs
@@ -1,4 +1,4 @@
-//! `--dev`: one host alone on loopback, with everything it meets built in.
+//! `--dev`: a single host on loopback with a built-in platform and backend servers.
 
 use std::io::{self, Write as _};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,38 +22,39 @@
 const OPERATOR_KEY: &str = "dev-operator";
 /// The model that the engine serves.
 const MODEL: &str = "echo";
-/// The plain service.
-const PLAIN: &str = "lookup";
-/// The region and data centre.
-const PLACE: &str = "dev";
-/// Where callers are answered unless asked otherwise.
-const CALLERS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 8470);
-/// Time between two reads of the configuration, in milliseconds.
+/// The plain service that the plain backend server serves.
+const PLAIN_SERVICE: &str = "lookup";
+/// The name of both the region and the data centre.
+const LOCATION: &str = "dev";
+/// Default address of the listener for callers.
+const DEFAULT_CALLERS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 8470);
+/// Interval between two reads of the configuration, in milliseconds.
 const POLL_MS: u64 = 250;
 
-/// The platform and backend servers of a host alone.
+/// The platform and the backend servers of a `--dev` host.
 #[derive(Debug)]
-pub struct Site {
+pub struct Environment {
     callers: SocketAddr,
     platform: platform::Handle,
     _engine: engine::Handle,
     _plain: plain::Handle,
 }
 
-impl Site {
-    /// Starts the platform and the backend servers, and accepts a first configuration.
-    pub fn open(listen: Option<SocketAddr>) -> Result<Self, Error> {
-        let callers = listen.unwrap_or(CALLERS);
+impl Environment {
+    /// Starts the platform and the backend servers, and writes a first configuration.
+    pub fn start(listen: Option<SocketAddr>) -> Result<Self, Error> {
+        let callers = listen.unwrap_or(DEFAULT_CALLERS);
         if !callers.ip().is_loopback() {
             return Err(Error::Usage("--dev listens on loopback addresses only"));
         }
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let platform = platform::bind(any)?;
-        let engine = engine::bind(any, MODEL, engine::Settings::default())?;
-        let plain = plain::bind(any, Duration::ZERO)?;
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let platform = platform::bind(any_port)?;
+        let engine = engine::bind(any_port, MODEL, engine::Settings::default())?;
+        let plain = plain::bind(any_port, Duration::ZERO)?;
         platform.set_hosts(vec![
             backend("echo-0", MODEL, engine.address()),
-            backend("lookup-0", PLAIN, plain.address()),
+            backend("lookup-0", PLAIN_SERVICE, plain.address()),
         ]);
         for (key, value) in rows(&configuration()) {
             platform.insert(key, value);
@@ -66,16 +67,16 @@
         })
     }
 
-    /// The settings of the host.
+    /// Returns the settings of the host.
     pub fn config(&self) -> Config {
         let port = self.callers.port();
-        let next = if port == 0 { 0 } else { port + 1 };
-        let on = |port| SocketAddr::new(self.callers.ip(), port);
+        let operators_port = if port == 0 { 0 } else { port + 1 };
+        let at_port = |port| SocketAddr::new(self.callers.ip(), port);
         Config {
             host: config::Host {
                 name: "dev".into(),
-                data_centre: PLACE.into(),
-                region: PLACE.into(),
+                data_centre: LOCATION.into(),
+                region: LOCATION.into(),
                 peer_key: digest::hex(CALLER_KEY.as_bytes()),
                 bootstrap_key_sha256: None,
                 threads: 0,
@@ -83,8 +84,8 @@
             listeners: Listeners {
                 peers_public: None,
                 callers: self.callers,
-                operators: on(next),
-                peers: on(0),
+                operators: at_port(operators_port),
+                peers: at_port(0),
                 routes: None,
             },
             platform: Platform {
@@ -101,7 +102,7 @@
             retries: Retries::default(),
             quarantine: Quarantine::default(),
             rollouts: Rollouts::default(),
-            // What the site says of itself goes to standard output.
+            // Standard output is used for the text that `announce` prints.
             logs: Logs {
                 to_stderr: true,
                 ..Logs::default()
@@ -110,7 +111,7 @@
     }
 }
 
-/// Says what is there and how to call it.
+/// Prints the listeners, the keys, the services and an example call.
 pub fn announce(host: &host::Handle) -> io::Result<()> {
     let (callers, operators) = (host.callers(), host.operators());
     let mut out = io::stdout().lock();
@@ -124,7 +125,7 @@
     )?;
     writeln!(
         out,
-        "models: {MODEL}; plain services: {PLAIN}; end with Ctrl-C; try:"
+        "models: {MODEL}; plain services: {PLAIN_SERVICE}; end with Ctrl-C; try:"
     )?;
     writeln!(
         out,
@@ -142,8 +143,8 @@
         address,
         operators: None,
         service: Some(service.into()),
-        data_centre: PLACE.into(),
-        region: PLACE.into(),
+        data_centre: LOCATION.into(),
+        region: LOCATION.into(),
         presence: Presence::Live,
         version: None,
         slots: None,
@@ -151,7 +152,7 @@
     }
 }
 
-/// The rows of an accepted first version.
+/// Returns the table rows of an accepted first version.
 fn rows(fleet: &Fleet) -> Vec<(String, String)> {
     let cut = manifest::Cut::new(fleet);
     cut.rows(&manifest::Record {
@@ -189,7 +190,7 @@
         }],
         services: vec![
             service(MODEL, fleet::Kind::Model, Some("short-first")),
-            service(PLAIN, fleet::Kind::Plain, None),
+            service(PLAIN_SERVICE, fleet::Kind::Plain, None),
         ],
         rules: Vec::new(),
         policies: vec![Policy {
--- a/cypressvaned/src/logging.rs
+++ b/cypressvaned/src/logging.rs
@@ -1,4 +1,4 @@
-//! JSON lines on standard output, bounded in number and never waited for.
+//! Logs JSON lines to standard output or standard error, rate limited and without blocking the caller.
 
 use std::io::{self, Write as _};
 use std::sync::{Mutex, PoisonError};
@@ -8,38 +8,38 @@
 use cypressvane::config::{Level, Logs};
 use slog::{Drain, LevelFilter, Logger, Never, OwnedKVList, Record, o};
 
-/// Log lines that may wait to be written; more are dropped and counted in a line of their own.
-const QUEUE: usize = 8_192;
-/// Time over which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
-/// Part of the lines of a span that only warnings and errors may use.
-const KEPT_FOR_WARNINGS: f64 = 0.2;
+/// Most log lines that wait to be written; further lines are dropped and counted in a line of their own.
+const QUEUE_LINES: usize = 8_192;
+/// Length of a rate limit window.
+const WINDOW: Duration = Duration::from_secs(1);
+/// Share of the lines of a window that is reserved for warnings and errors.
+const WARNING_SHARE: f64 = 0.2;
 
-/// Opens the log; the guard writes what waits when it is dropped.
+/// Opens the log. Dropping the guard writes the lines that still wait.
 pub fn open(settings: &Logs) -> (Logger, slog_async::AsyncGuard) {
-    let json = slog_json::Json::new(Sink::of(settings))
+    let json = slog_json::Json::new(Sink::new(settings))
         .add_default_keys()
         .build();
-    // A reader that went away must not end the process.
+    // A closed pipe must not end the process.
     let drain = Mutex::new(json).map(slog::IgnoreResult::new);
     let (drain, guard) = slog_async::Async::new(drain)
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_LINES)
         .build_with_guard();
-    let all = Logger::root(drain.fuse(), o!());
-    let drain = Bounded::new(all, settings.lines_per_second);
-    let drain = LevelFilter::new(drain, least(settings.level));
+    let output = Logger::root(drain.fuse(), o!());
+    let drain = RateLimited::new(output, settings.lines_per_second);
+    let drain = LevelFilter::new(drain, minimum_level(settings.level));
     (Logger::root(drain.fuse(), o!()), guard)
 }
 
-/// Where lines go: each in one piece, since others write there as well.
+/// Writes each line with a single call, since other code writes to the same stream.
 struct Sink {
     to_stderr: bool,
-    /// The line that is being made.
+    /// The incomplete line.
     line: Vec<u8>,
 }
 
 impl Sink {
-    fn of(settings: &Logs) -> Self {
+    fn new(settings: &Logs) -> Self {
         Self {
             to_stderr: settings.to_stderr,
             line: Vec::new(),
@@ -60,9 +60,9 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if self.line.ends_with(b"\n") {
-            let written = self.write_line();
+            let result = self.write_line();
             self.line.clear();
-            written?;
+            result?;
         }
         Ok(bytes.len())
     }
@@ -72,80 +72,79 @@
     }
 }
 
-/// Lets a number of lines a second through, and says how many it left out.
+/// Passes a limited number of lines per second and reports how many it dropped.
 ///
-/// Warnings and errors have a part of the number to themselves, so that many lines of requests do
-/// not hide them.
-struct Bounded {
-    /// Logs every line.
-    all: Logger,
-    most: u32,
-    counted: Mutex<Counted>,
+/// A share of the limit is reserved for warnings and errors, so that many request lines do not
+/// displace them.
+struct RateLimited {
+    /// The logger behind the limit.
+    output: Logger,
+    limit: u32,
+    window: Mutex<Window>,
 }
 
-/// The lines of the present span.
-struct Counted {
-    began: Instant,
-    passed: u32,
-    left_out: u32,
+/// Line counts of the current window.
+struct Window {
+    started: Instant,
+    logged: u32,
+    dropped: u32,
 }
 
-impl Bounded {
-    fn new(all: Logger, most: u32) -> Self {
-        let counted = Mutex::new(Counted {
-            began: Instant::now(),
-            passed: 0,
-            left_out: 0,
+impl RateLimited {
+    fn new(output: Logger, limit: u32) -> Self {
+        let window = Mutex::new(Window {
+            started: Instant::now(),
+            logged: 0,
+            dropped: 0,
         });
-        Self { all, most, counted }
+        Self {
+            output,
+            limit,
+            window,
+        }
     }
 
-    /// Whether a line passes, and how many were left out in a span that is now over.
+    /// Returns whether the line may be logged, and how many lines were dropped in a window that just ended.
     fn admit(&self, is_warning: bool, now: Instant) -> (bool, Option<u32>) {
-        let mut counted = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut told = None;
-        if now.saturating_duration_since(counted.began) >= SPAN {
-            told = (counted.left_out > 0).then_some(counted.left_out);
-            *counted = Counted {
-                began: now,
-                passed: 0,
-                left_out: 0,
+        let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut reported = None;
+        if now.saturating_duration_since(window.started) >= WINDOW {
+            reported = (window.dropped > 0).then_some(window.dropped);
+            *window = Window {
+                started: now,
+                logged: 0,
+                dropped: 0,
             };
         }
-        let most = f64::from(self.most)
-            * if is_warning {
-                1.0
-            } else {
-                1.0 - KEPT_FOR_WARNINGS
-            };
-        let passes = f64::from(counted.passed) < most;
+        let limit = f64::from(self.limit) * if is_warning { 1.0 } else { 1.0 - WARNING_SHARE };
+        let passes = f64::from(window.logged) < limit;
         if passes {
-            counted.passed += 1;
+            window.logged += 1;
         } else {
-            counted.left_out += 1;
+            window.dropped += 1;
         }
-        (passes, told)
+        (passes, reported)
     }
 }
 
-impl Drain for Bounded {
+impl Drain for RateLimited {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, _values: &OwnedKVList) -> Result<(), Never> {
         let is_warning = record.level().is_at_least(slog::Level::Warning);
-        let (passes, left_out) = self.admit(is_warning, Instant::now());
-        if let Some(count) = left_out {
-            slog::warn!(self.all, "log lines were left out"; "count" => count);
+        let (passes, dropped) = self.admit(is_warning, Instant::now());
+        if let Some(count) = dropped {
+            slog::warn!(self.output, "log lines were left out"; "count" => count);
         }
         if passes {
-            self.all.log(record);
+            self.output.log(record);
         }
         Ok(())
     }
 }
 
-fn least(level: Level) -> slog::Level {
+fn minimum_level(level: Level) -> slog::Level {
     match level {
         Level::Error => slog::Level::Error,
         Level::Warning => slog::Level::Warning,
--- a/cypressvaned/src/logging_tests.rs
+++ b/cypressvaned/src/logging_tests.rs
@@ -1,24 +1,24 @@
-//! How many lines a second pass.
+//! Tests of the log rate limit.
 
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
 use slog::Logger;
 
-use super::Bounded;
+use super::RateLimited;
 
 struct Case {
     name: &'static str,
-    /// Milliseconds from the beginning, whether it is a warning, whether it passes, and the lines
-    /// that it tells were left out.
+    /// Milliseconds from the start, whether the line is a warning, whether it passes, and the
+    /// number of dropped lines that is reported with it.
     lines: &'static [(u64, bool, bool, Option<u32>)],
 }
 
 #[test]
-fn lines_beyond_the_bound_are_left_out_and_counted() {
+fn lines_over_the_limit_are_dropped_and_counted() {
     let cases = [
         Case {
-            name: "requests leave room for warnings",
+            name: "a share is reserved for warnings",
             lines: &[
                 (0, false, true, None),
                 (1, false, true, None),
@@ -30,7 +30,7 @@
             ],
         },
         Case {
-            name: "the next second begins anew and tells",
+            name: "the next second starts at zero and reports the drops",
             lines: &[
                 (0, true, true, None),
                 (0, true, true, None),
@@ -45,18 +45,13 @@
         },
     ];
     for case in cases {
-        let bounded = Bounded::new(Logger::root(slog::Discard, slog::o!()), 5);
+        let limiter = RateLimited::new(Logger::root(slog::Discard, slog::o!()), 5);
         let start = Instant::now();
-        for (index, (millis, is_warning, passes, left_out)) in case.lines.iter().enumerate() {
+        for (index, (millis, is_warning, passes, dropped)) in case.lines.iter().enumerate() {
             let now = start + Duration::from_millis(*millis);
-            let admitted = bounded.admit(*is_warning, now);
-            // The bound's own beginning may lie a moment before the test's.
-            assert_eq!(
-                admitted,
-                (*passes, *left_out),
-                "{}: line {index}",
-                case.name
-            );
+            let admitted = limiter.admit(*is_warning, now);
+            // The first window of the limiter may start slightly before `start`.
+            assert_eq!(admitted, (*passes, *dropped), "{}: line {index}", case.name);
         }
     }
 }
--- a/cypressvaned/src/main.rs
+++ b/cypressvaned/src/main.rs
@@ -1,4 +1,4 @@
-//! The cypressvane daemon, the same on every entry host.
+//! The cypressvane daemon. Every entry host runs the same program.
 
 #![warn(rust_2018_idioms, future_incompatible)]
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
@@ -24,26 +24,26 @@
 
 use crate::cli::Options;
 
-/// The exit code when requests were cut at the end of the drain time.
-const CUT: u8 = 3;
-/// The exit code of a wrong command line or wrong settings.
-const USAGE: u8 = 2;
-/// Time after an operator's order in which its answer is written.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+/// Exit code when requests were unfinished at the end of the drain time and were cut.
+const EXIT_CUT_REQUESTS: u8 = 3;
+/// Exit code for an invalid command line or invalid settings.
+const EXIT_USAGE: u8 = 2;
+/// Delay between an operator's drain order and the drain, so that the order's answer can be written.
+const ORDER_ANSWER_DELAY: Duration = Duration::from_millis(100);
 
-/// Why the daemon ends with a failure.
+/// An error that ends the daemon.
 #[derive(Debug, thiserror::Error)]
 enum Error {
-    /// The settings file is wrong.
+    /// The settings file cannot be read or is invalid.
     #[error(transparent)]
     Settings(#[from] settings::Error),
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(&'static str),
-    /// The host does not start.
+    /// The host failed to start.
     #[error(transparent)]
     Host(#[from] host::Error),
-    /// The system refused something.
+    /// An I/O operation failed.
     #[error(transparent)]
     System(#[from] io::Error),
 }
@@ -55,7 +55,7 @@
         Err(error) => {
             eprintln!("cypressvaned: {error}");
             match error {
-                Error::Settings(_) | Error::Usage(_) => ExitCode::from(USAGE),
+                Error::Settings(_) | Error::Usage(_) => ExitCode::from(EXIT_USAGE),
                 Error::Host(_) | Error::System(_) => ExitCode::FAILURE,
             }
         }
@@ -68,17 +68,17 @@
         return Ok(ExitCode::SUCCESS);
     }
     match (&options.config, options.dev) {
-        (Some(_), true) => Err(Error::Usage("--dev and --config do not go together")),
+        (Some(_), true) => Err(Error::Usage("--dev and --config cannot be used together")),
         (None, false) => Err(Error::Usage("--config FILE or --dev is needed; see --help")),
         (None, true) if options.check => Err(Error::Usage("--check needs --config FILE")),
         (None, true) => {
             runtime::start(0);
-            let site = dev::Site::open(options.listen)?;
-            serve(site.config(), None, dev::announce)
+            let environment = dev::Environment::start(options.listen)?;
+            serve(environment.config(), None, dev::announce)
         }
         (Some(path), false) => {
             let loaded = settings::load(path)?;
-            for key in &loaded.unknown {
+            for key in &loaded.unknown_keys {
                 eprintln!("cypressvaned: warning: {key} is not a known key");
             }
             if options.check {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Runs a host until it is told to leave.
+/// Runs a host until a signal or an operator orders it to drain.
 fn serve(
     config: Config,
     settings: Option<&Path>,
@@ -119,14 +119,14 @@
     announce(&host)?;
     let cut = smol::block_on(async {
         let signal = async {
-            // The sender lives in a thread that never ends.
+            // The signal thread never ends and owns the sender, so `recv` does not fail.
             while let Ok(SIGHUP) = signals.recv().await {
                 reload(settings, &log);
             }
         };
         let order = async {
             host.asked_to_leave().await;
-            smol::Timer::after(ANSWER_TIME).await;
+            smol::Timer::after(ORDER_ANSWER_DELAY).await;
         };
         signal.or(order).await;
         host.drain().await
@@ -135,11 +135,11 @@
     Ok(if cut == 0 {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(CUT)
+        ExitCode::from(EXIT_CUT_REQUESTS)
     })
 }
 
-/// Says on standard output where the host listens, as one line of JSON.
+/// Prints the addresses of the listeners to standard output as one line of JSON.
 fn announce(host: &host::Handle) -> io::Result<()> {
     use io::Write as _;
     let routes = host.routes();
@@ -155,16 +155,16 @@
     out.flush()
 }
 
-/// Takes note of a settings file that may have changed; what it says counts from the next start.
+/// Checks the settings file again and logs the result; changes apply only after a restart.
 fn reload(path: Option<&Path>, log: &Logger) {
     let Some(path) = path else { return };
     match settings::load(path) {
-        Ok(_) => slog::info!(log, "the settings are right, and count from the next start"),
+        Ok(_) => slog::info!(log, "the settings are valid and apply from the next start"),
         Err(error) => slog::error!(log, "the settings are wrong"; "cause" => %error),
     }
 }
 
-/// A channel on which signals come.
+/// Starts a thread that forwards SIGTERM, SIGINT and SIGHUP to the returned channel.
 fn signals() -> io::Result<smol::channel::Receiver<i32>> {
     let (sender, receiver) = smol::channel::unbounded();
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
--- a/cypressvaned/src/settings.rs
+++ b/cypressvaned/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file and says what is wrong with it, with key and line.
+//! Reads and checks the settings file; errors name the key and the line.
 
 use std::fs;
 use std::io;
@@ -7,16 +7,15 @@
 use cypressvane::config::{self, Config};
 use toml::de::DeTable;
 
-/// Checked settings.
+/// Settings that passed all checks.
 #[derive(Debug)]
 pub struct Settings {
-    /// The settings.
     pub config: Config,
-    /// Keys that no section knows, each with its line.
-    pub unknown: Vec<String>,
+    /// Keys that no section defines, each with its line number.
+    pub unknown_keys: Vec<String>,
 }
 
-/// Why a settings file is not taken.
+/// An error in a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
@@ -24,37 +23,37 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is no TOML, a key is missing, or a value is of the wrong type.
+    /// The file is not valid TOML, a key is missing, or a value has the wrong type.
     #[error("{}: {source}", path.display())]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// What the parser said, with the line.
+        /// The parse error, which names the line.
         source: Box<toml::de::Error>,
     },
     /// A value is outside its range.
-    #[error("{}: {}{source}", path.display(), at(*line))]
+    #[error("{}: {}{source}", path.display(), line_prefix(*line))]
     Range {
         /// The file.
         path: PathBuf,
-        /// The line, where the key stands in the file.
+        /// The line of the key; `None` if the file does not set it.
         line: Option<usize>,
-        /// The key, what was found and what is allowed.
+        /// The key, the value found and the allowed range.
         source: config::Error,
     },
 }
 
-fn at(line: Option<usize>) -> String {
+fn line_prefix(line: Option<usize>) -> String {
     line.map_or_else(String::new, |line| format!("line {line}: "))
 }
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// Names the key, the line, what was found and what is allowed.
+/// Returns an error if the file cannot be read, is not valid TOML, or has a value outside its range.
 pub fn load(path: &Path) -> Result<Settings, Error> {
     let text = fs::read_to_string(path).map_err(|source| Error::Read {
         path: path.to_owned(),
@@ -63,16 +62,16 @@
     parse(path, &text)
 }
 
-/// Checks the text of a settings file.
+/// Parses and checks the text of a settings file.
 fn parse(path: &Path, text: &str) -> Result<Settings, Error> {
     let syntax = |source| Error::Syntax {
         path: path.to_owned(),
         source: Box::new(source),
     };
-    let mut unknown = Vec::new();
+    let mut unknown_keys = Vec::new();
     let deserializer = toml::Deserializer::parse(text).map_err(syntax)?;
     let config: Config = serde_ignored::deserialize(deserializer, |key| {
-        unknown.push(key.to_string());
+        unknown_keys.push(key.to_string());
     })
     .map_err(|mut error: toml::de::Error| {
         error.set_input(Some(text));
@@ -86,14 +85,17 @@
             source,
         }
     })?;
-    let unknown = unknown
+    let unknown_keys = unknown_keys
         .iter()
-        .map(|key| format!("{}{key}", at(line_of(text, key))))
+        .map(|key| format!("{}{key}", line_prefix(line_of(text, key))))
         .collect();
-    Ok(Settings { config, unknown })
+    Ok(Settings {
+        config,
+        unknown_keys,
+    })
 }
 
-/// The line on which a dotted key stands.
+/// Returns the line number of a dotted key.
 fn line_of(text: &str, key: &str) -> Option<usize> {
     let document = DeTable::parse(text).ok()?;
     let mut table = document.get_ref();
