--- a/cypressvane_ctl/src/cli.rs
+++ b/cypressvane_ctl/src/cli.rs
@@ -7,14 +7,14 @@
 
 use crate::output::Format;
 
-/// The operators' listener of a host that runs with its default settings.
+/// Returns the default address of a host's listener for operators.
 fn default_host() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 8471))
 }
 
 /// Operates a fleet of cypressvane hosts.
 ///
-/// Exit codes: 0 done; 1 refused or failed; 2 wrong command line or document; 3 no answer; 4 not in
+/// Exit codes: 0 done; 1 refused or failed; 2 invalid command line or file; 3 no answer; 4 not in
 /// force on every host in time.
 #[derive(Debug, Parse)]
 pub struct Options {
@@ -24,13 +24,13 @@
     /// print the version
     #[options(short = "V")]
     pub version: bool,
-    /// operators' listener of any host (default 127.0.0.1:8471)
+    /// address of any host's listener for operators (default 127.0.0.1:8471)
     #[options(no_short, default_expr = "default_host()", meta = "ADDRESS")]
     pub host: SocketAddr,
-    /// operator key (default: the variable `CYPRESSVANE_KEY`)
+    /// operator key (default: the environment variable `CYPRESSVANE_KEY`)
     #[options(no_short, meta = "KEY")]
     pub key: Option<String>,
-    /// text or json
+    /// output format: text or json
     #[options(no_short, default_expr = "Format::Text", meta = "FORMAT")]
     pub output: Format,
     /// what to do
@@ -46,22 +46,22 @@
     /// check a policy program
     Policy(Policy),
     /// show every host's state
-    Status(Status),
-    /// show a host's whole state
-    Dump(Named),
-    /// let a host leave
-    Drain(Named),
+    Status(NoArguments),
+    /// show the full state of a host
+    Dump(HostArguments),
+    /// drain a host
+    Drain(HostArguments),
     /// order a backend server to load, unload or change its role
     Engine(Engine),
-    /// list all backend servers: state, load, and the limits that they name
-    Engines(Status),
-    /// list the requests under which backend servers ended, or release one
+    /// list all backend servers: state, load and the rate limits that they announce
+    Engines(NoArguments),
+    /// list the requests during which backend servers ended, or release one
     Quarantine(Quarantine),
-    /// list the roll-outs: how each stands, and by what it is decided
-    Rollout(Status),
-    /// tell a request's story from log files, its cause first
+    /// list the roll-outs: the state of each and the evidence for its decisions
+    Rollout(NoArguments),
+    /// explain from log files how a request ended, its cause first
     Explain(Explain),
-    /// tell from log files where the time of answered requests went
+    /// summarize from log files where answered requests spent their time
     Profile(Profile),
 }
 
@@ -79,15 +79,15 @@
 /// What to do with the configuration.
 #[derive(Debug, Parse)]
 pub enum ConfigCommand {
-    /// submit a file and wait until it is in force everywhere
+    /// submit a file and wait until it is in force on every host
     Submit(Submit),
     /// print the configuration in force
-    Show(Status),
+    Show(NoArguments),
     /// list the accepted versions, newest first
     History(History),
 }
 
-/// Submits a file and waits until it is in force everywhere.
+/// Submits a file and waits until it is in force on every host.
 #[derive(Debug, Parse)]
 pub struct Submit {
     /// print this help
@@ -96,7 +96,7 @@
     /// the configuration, as TOML
     #[options(free, required)]
     pub file: PathBuf,
-    /// accept only right after this version
+    /// reject the file unless this is the newest version
     #[options(no_short, meta = "VERSION")]
     pub base: Option<u64>,
     /// how long to wait for the hosts, in seconds
@@ -110,22 +110,22 @@
     /// print this help
     #[options(help_flag)]
     help: bool,
-    /// how many
+    /// number of versions
     #[options(no_short, default = "20", meta = "COUNT")]
     pub last: u64,
 }
 
-/// A command without arguments.
+/// Arguments of a command that takes none.
 #[derive(Debug, Parse)]
-pub struct Status {
+pub struct NoArguments {
     /// print this help
     #[options(help_flag)]
     help: bool,
 }
 
-/// A command about one host.
+/// Arguments of a command for one host.
 #[derive(Debug, Parse)]
-pub struct Named {
+pub struct HostArguments {
     /// print this help
     #[options(help_flag)]
     help: bool,
@@ -145,41 +145,41 @@
     pub command: Option<EngineCommand>,
 }
 
-/// What a backend server is ordered to do.
+/// The kinds of orders to a backend server.
 #[derive(Debug, Parse)]
 pub enum EngineCommand {
     /// load a model, adapter or version
-    Load(Loading),
+    Load(LoadArguments),
     /// unload a model, adapter or version
-    Unload(Loading),
-    /// take a role
-    Role(Role),
+    Unload(LoadArguments),
+    /// change its role
+    Role(RoleArguments),
 }
 
-/// An order to load or unload.
+/// Arguments of an order to load or unload.
 #[derive(Debug, Parse)]
-pub struct Loading {
+pub struct LoadArguments {
     /// print this help
     #[options(help_flag)]
     help: bool,
-    /// the backend server, as the host list has it
+    /// name of the backend server in the host list
     #[options(free, required)]
     pub server: String,
-    /// what is loaded or unloaded
+    /// what to load or unload
     #[options(free, required)]
     pub name: String,
-    /// model, adapter or version
+    /// kind: model, adapter or version
     #[options(no_short, default = "model", meta = "KIND")]
     pub kind: String,
 }
 
-/// An order to take a role.
+/// Arguments of an order to change the role.
 #[derive(Debug, Parse)]
-pub struct Role {
+pub struct RoleArguments {
     /// print this help
     #[options(help_flag)]
     help: bool,
-    /// the backend server, as the host list has it
+    /// name of the backend server in the host list
     #[options(free, required)]
     pub server: String,
     /// the role
@@ -187,7 +187,7 @@
     pub name: String,
 }
 
-/// Lists the requests under which backend servers ended, or releases one.
+/// Lists the requests during which backend servers ended, or releases one.
 #[derive(Debug, Parse)]
 pub struct Quarantine {
     /// print this help
@@ -198,22 +198,22 @@
     pub command: Option<QuarantineCommand>,
 }
 
-/// What to do with requests under which backend servers ended.
+/// What to do with requests during which backend servers ended.
 #[derive(Debug, Parse)]
 pub enum QuarantineCommand {
-    /// list those that are kept from the servers, and the suspects
-    List(Status),
-    /// let one through again, on all hosts
+    /// list the quarantined requests and the suspects
+    List(NoArguments),
+    /// release a request from quarantine on all hosts
     Release(Release),
 }
 
-/// Lets a request through again that is kept from the backend servers.
+/// Releases a request from quarantine.
 #[derive(Debug, Parse)]
 pub struct Release {
     /// print this help
     #[options(help_flag)]
     help: bool,
-    /// its fingerprint, as the list and the logs have it
+    /// fingerprint of the request, as shown in the list and the logs
     #[options(free, required)]
     pub fingerprint: String,
 }
@@ -232,25 +232,25 @@
 /// What to do with a policy program.
 #[derive(Debug, Parse)]
 pub enum PolicyCommand {
-    /// compile a program and try it on example requests
+    /// compile a program and run it on example requests
     Check(Check),
 }
 
-/// Compiles a program and tries it on example requests.
+/// Compiles a program and runs it on example requests.
 #[derive(Debug, Parse)]
 pub struct Check {
     /// print this help
     #[options(help_flag)]
     help: bool,
-    /// the program
+    /// the file with the program
     #[options(free, required)]
     pub file: PathBuf,
-    /// example requests: a JSON list of objects with the fields that a program sees
+    /// example requests: a JSON list of objects with the fields that a program receives
     #[options(no_short, meta = "FILE")]
     pub examples: Option<PathBuf>,
 }
 
-/// Tells a request's story from the log files of hosts, its cause first.
+/// Explains from log files of hosts how a request ended, its cause first.
 #[derive(Debug, Parse)]
 pub struct Explain {
     /// print this help
@@ -264,13 +264,13 @@
     pub files: Vec<PathBuf>,
 }
 
-/// Tells from log files where the time of answered requests went.
+/// Summarizes from log files where answered requests spent their time.
 #[derive(Debug, Parse)]
 pub struct Profile {
     /// print this help
     #[options(help_flag)]
     help: bool,
-    /// draw the means as a picture (SVG)
+    /// draw the means as a chart (SVG)
     #[options(no_short, meta = "FILE")]
     pub plot: Option<PathBuf>,
     /// log files of hosts, in any order
--- a/cypressvane_ctl/src/config.rs
+++ b/cypressvane_ctl/src/config.rs
@@ -13,28 +13,28 @@
 
 use crate::cli::{Config, ConfigCommand, Submit};
 use crate::error::Error;
-use crate::operator::{Operator, parse};
+use crate::operator::{Client, parse};
 use crate::output::Output;
 
-/// Time between two looks at the hosts.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval between two requests for the hosts' states.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What became of a submission.
+/// The result of a submission.
 #[derive(Debug, Serialize)]
 struct Outcome {
     version: u64,
     submission: String,
-    /// Seconds from acceptance until every host reported it.
+    /// Seconds from acceptance until every host reported the version in force.
     seconds: f64,
     hosts: usize,
 }
 
 /// Runs a subcommand.
-pub async fn run(operator: &Operator, config: Config, output: Output) -> Result<(), Error> {
+pub async fn run(client: &Client, config: Config, output: Output) -> Result<(), Error> {
     match config.command {
-        Some(ConfigCommand::Submit(submit)) => run_submit(operator, &submit, output).await,
+        Some(ConfigCommand::Submit(submit)) => run_submit(client, &submit, output).await,
         Some(ConfigCommand::Show(_)) => {
-            let reply = operator.call(Method::Get, "/v1/config", "").await?;
+            let reply = client.call(Method::Get, "/v1/config", "").await?;
             let text = String::from_utf8_lossy(&reply.body).into_owned();
             let fleet =
                 Fleet::parse(&text).map_err(|error| Error::Unexpected(error.to_string()))?;
@@ -42,7 +42,7 @@
         }
         Some(ConfigCommand::History(history)) => {
             let path = format!("/v1/config/history?last={}", history.last);
-            let reply = operator.call(Method::Get, &path, "").await?;
+            let reply = client.call(Method::Get, &path, "").await?;
             let records: Vec<Record> = parse(&reply)?;
             output.print(&records, || history_text(&records))
         }
@@ -66,7 +66,7 @@
     )
 }
 
-async fn run_submit(operator: &Operator, submit: &Submit, output: Output) -> Result<(), Error> {
+async fn run_submit(client: &Client, submit: &Submit, output: Output) -> Result<(), Error> {
     let path = &submit.file;
     let text = fs::read_to_string(path).map_err(|source| Error::File {
         path: path.clone(),
@@ -76,27 +76,27 @@
     let query = submit
         .base
         .map_or_else(String::new, |base| format!("?base={base}"));
-    let reply = operator
+    let reply = client
         .call(Method::Post, &format!("/v1/config{query}"), &text)
         .await?;
     let record: Record = parse(&reply)?;
-    let begun = Instant::now();
-    let end = begun + Duration::from_secs(submit.wait);
-    let hosts = operator.hosts().await?.len();
+    let started = Instant::now();
+    let deadline = started + Duration::from_secs(submit.wait);
+    let hosts = client.hosts().await?.len();
     loop {
-        let behind = behind(operator, record.version).await?;
+        let behind = hosts_behind(client, record.version).await?;
         if behind.is_empty() {
             break;
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return Err(Error::NotEverywhere {
                 version: record.version,
                 hosts: behind,
             });
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     let outcome = Outcome {
         version: record.version,
         submission: record.submission,
@@ -109,7 +109,7 @@
     })
 }
 
-/// Finds what is wrong before anything is sent.
+/// Checks the configuration and its policies before anything is sent.
 fn check(submit: &Submit, text: &str) -> Result<(), Error> {
     let wrong = |cause: String| Error::Document {
         path: submit.file.clone(),
@@ -120,11 +120,11 @@
     Ok(())
 }
 
-/// The hosts that do not report at least `version`.
-async fn behind(operator: &Operator, version: u64) -> Result<Vec<String>, Error> {
+/// Returns the hosts that do not report `version` or a newer one.
+async fn hosts_behind(client: &Client, version: u64) -> Result<Vec<String>, Error> {
     let mut behind = Vec::new();
-    for entry in operator.hosts().await? {
-        let state = operator.state(&entry).await;
+    for entry in client.hosts().await? {
+        let state = client.state(&entry).await;
         if !state.is_ok_and(|state| state.version >= version) {
             behind.push(entry.name.to_string());
         }
--- a/cypressvane_ctl/src/engine.rs
+++ b/cypressvane_ctl/src/engine.rs
@@ -3,13 +3,13 @@
 use cypressvane::order::{Entry, Kind, Order};
 use http_types::Method;
 
-use crate::cli::{Engine, EngineCommand, Loading};
+use crate::cli::{Engine, EngineCommand, LoadArguments};
 use crate::error::Error;
-use crate::operator::{Operator, parse};
+use crate::operator::{Client, parse};
 use crate::output::Output;
 
 /// Runs a subcommand.
-pub async fn run(operator: &Operator, engine: Engine, output: Output) -> Result<(), Error> {
+pub async fn run(client: &Client, engine: Engine, output: Output) -> Result<(), Error> {
     let (server, order) = match engine.command {
         Some(EngineCommand::Load(loading)) => {
             let kind = kind(&loading)?;
@@ -39,7 +39,7 @@
         }
     };
     let body = serde_json::to_string(&order).map_err(|error| Error::Usage(error.to_string()))?;
-    let reply = operator
+    let reply = client
         .call(Method::Post, &format!("/v1/orders?server={server}"), &body)
         .await?;
     let entry: Entry = parse(&reply)?;
@@ -48,7 +48,7 @@
     })
 }
 
-fn kind(loading: &Loading) -> Result<Kind, Error> {
+fn kind(loading: &LoadArguments) -> Result<Kind, Error> {
     match loading.kind.as_str() {
         "model" => Ok(Kind::Model),
         "adapter" => Ok(Kind::Adapter),
--- a/cypressvane_ctl/src/engines.rs
+++ b/cypressvane_ctl/src/engines.rs
@@ -1,4 +1,4 @@
-//! `cypressvane engines`: the backend servers as the homes of their pools see them.
+//! `cypressvane engines`: lists the backend servers as known to the homes of their pools.
 
 use std::time::Duration;
 
@@ -6,48 +6,48 @@
 use serde::Serialize;
 
 use crate::error::Error;
-use crate::operator::Operator;
+use crate::operator::Client;
 use crate::output::Output;
 
-/// A backend server and the home that it is of.
+/// A backend server with the home of its pool.
 #[derive(Debug, Serialize)]
-struct Line {
+struct ListedServer {
     service: String,
     home: String,
     #[serde(flatten)]
     server: Server,
 }
 
-/// What was found out.
+/// The result of the command.
 #[derive(Debug, Serialize)]
 struct Listing {
-    servers: Vec<Line>,
-    /// Hosts that gave no answer, each with the cause.
+    servers: Vec<ListedServer>,
+    /// Hosts that gave no answer, each with the error.
     silent: Vec<(String, String)>,
 }
 
-/// Lists all backend servers with their state, load and limit.
-pub async fn run(operator: &Operator, output: Output) -> Result<(), Error> {
+/// Lists all backend servers with their state, load and rate limit.
+pub async fn run(client: &Client, output: Output) -> Result<(), Error> {
     let mut listing = Listing {
         servers: Vec::new(),
         silent: Vec::new(),
     };
-    for entry in operator.hosts().await? {
-        match operator.dump(&entry).await {
-            Ok(dump) => listing.servers.extend(lines(dump)),
+    for entry in client.hosts().await? {
+        match client.dump(&entry).await {
+            Ok(dump) => listing.servers.extend(home_servers(dump)),
             Err(error) => listing
                 .silent
                 .push((entry.name.to_string(), error.to_string())),
         }
     }
-    listing.servers.sort_by(|one, other| {
-        (&one.service, &one.server.name).cmp(&(&other.service, &other.server.name))
-    });
+    listing
+        .servers
+        .sort_by(|a, b| (&a.service, &a.server.name).cmp(&(&b.service, &b.server.name)));
     output.print(&listing, || text(&listing))
 }
 
-/// The servers of the pools whose home a host is.
-fn lines(dump: Dump) -> Vec<Line> {
+/// Returns the servers of the pools whose home is the host of the dump.
+fn home_servers(dump: Dump) -> Vec<ListedServer> {
     let host = dump.host.to_string();
     let pools = dump.pools.into_iter().filter(|pool| pool.home);
     let servers = pools.flat_map(|pool| {
@@ -56,12 +56,12 @@
             .into_iter()
             .map(move |server| (service.clone(), server))
     });
-    let line = |(service, server)| Line {
+    let listed = |(service, server)| ListedServer {
         service,
         home: host.clone(),
         server,
     };
-    servers.map(line).collect()
+    servers.map(listed).collect()
 }
 
 fn text(listing: &Listing) -> String {
@@ -73,17 +73,17 @@
     servers.chain(silent).collect::<Vec<_>>().join("\n")
 }
 
-fn server_text(line: &Line) -> String {
-    let server = &line.server;
+fn server_text(listed: &ListedServer) -> String {
+    let server = &listed.server;
     let mut text = format!(
         "{}  {}  {} for {} s  {} of {} places taken  home {}",
-        line.service,
+        listed.service,
         server.name,
         server.state,
         Duration::from_millis(server.since_ms).as_secs(),
         server.running,
         server.slots,
-        line.home,
+        listed.home,
     );
     if let Some(limit) = &server.limit {
         text.push_str(&limit_text(limit));
--- a/cypressvane_ctl/src/error.rs
+++ b/cypressvane_ctl/src/error.rs
@@ -1,23 +1,23 @@
-//! Why a command fails, and the exit code that says so.
+//! The errors of commands and their exit codes.
 
 use std::io;
 use std::path::PathBuf;
 
 use cypressvane::{client, policy};
 
-/// Refused or failed.
-const FAILED: u8 = 1;
-/// Wrong command line or document.
-const USAGE: u8 = 2;
-/// No answer.
-const NO_ANSWER: u8 = 3;
-/// Not in force on every host in time.
-const NOT_EVERYWHERE: u8 = 4;
+/// Exit code when a host refused, or the command failed in another way.
+const EXIT_FAILED: u8 = 1;
+/// Exit code for an invalid command line or file.
+const EXIT_USAGE: u8 = 2;
+/// Exit code when a host gave no answer.
+const EXIT_NO_ANSWER: u8 = 3;
+/// Exit code when a version is not in force on every host in time.
+const EXIT_NOT_EVERYWHERE: u8 = 4;
 
-/// Why a command fails.
+/// An error that ends a command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
     /// A file cannot be read.
@@ -25,18 +25,18 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A file is not what it should be.
+    /// The contents of a file are invalid, or a file cannot be drawn.
     #[error("{}: {cause}", path.display())]
     Document {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// The error in the file.
         cause: String,
     },
-    /// A policy program does not check.
+    /// A policy program does not compile or fails on an example.
     #[error(transparent)]
     Policy(#[from] policy::Error),
     /// A host gave no answer.
@@ -45,12 +45,12 @@
     /// A host refused.
     #[error("{code}: {message}")]
     Refused {
-        /// The stable code.
+        /// The code of the refusal, which is the same in all versions.
         code: String,
-        /// Why.
+        /// The reason, for people.
         message: String,
     },
-    /// A host answered something else than meant.
+    /// A host gave an unexpected answer, log files lack what was asked for, or output cannot be written.
     #[error("{0}")]
     Unexpected(String),
     /// A version is accepted, but some hosts did not report it in time.
@@ -58,19 +58,21 @@
     NotEverywhere {
         /// The version.
         version: u64,
-        /// The hosts.
+        /// The hosts that did not report it.
         hosts: Vec<String>,
     },
 }
 
 impl Error {
-    /// The exit code.
+    /// Returns the exit code.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Refused { .. } | Self::Unexpected(_) => FAILED,
-            Self::Usage(_) | Self::File { .. } | Self::Document { .. } | Self::Policy(_) => USAGE,
-            Self::NoAnswer(_) => NO_ANSWER,
-            Self::NotEverywhere { .. } => NOT_EVERYWHERE,
+            Self::Refused { .. } | Self::Unexpected(_) => EXIT_FAILED,
+            Self::Usage(_) | Self::File { .. } | Self::Document { .. } | Self::Policy(_) => {
+                EXIT_USAGE
+            }
+            Self::NoAnswer(_) => EXIT_NO_ANSWER,
+            Self::NotEverywhere { .. } => EXIT_NOT_EVERYWHERE,
         }
     }
 }
--- a/cypressvane_ctl/src/explain.rs
+++ b/cypressvane_ctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! Tells a request's story from the log files of hosts, its cause first.
+//! `cypressvane explain`: explains from log files of hosts how a request ended, its cause first.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,23 +12,23 @@
 use crate::logs::{self, Fields};
 use crate::output::Output;
 
-/// The outcome of a request whose caller hung up.
+/// Outcome of a request whose caller closed the connection.
 const CALLER_GONE: &str = "caller_gone";
-/// Fields that every line has, which the story does not repeat.
-const COMMON: [&str; 4] = ["msg", "level", "ts", "request_id"];
-/// Lines that tell how a request ended.
-const ENDS: [&str; 2] = ["request", "refused on arrival"];
-/// The outcome of a request that was answered.
+/// Fields of every log line that are not printed with the other fields.
+const OMITTED_FIELDS: [&str; 4] = ["msg", "level", "ts", "request_id"];
+/// Messages of the log lines that say how a request ended.
+const END_MESSAGES: [&str; 2] = ["request", "refused on arrival"];
+/// Outcome of a request that was answered.
 const ANSWERED: &str = "answered";
 
-/// A request as its hosts' logs tell of it.
+/// How a request ended, with all log lines about it.
 #[derive(Debug, Serialize)]
-struct Story {
+struct Explanation {
     request_id: String,
-    /// How it ended, and why, where that is told.
+    /// How it ended and why; `None` if no line says so.
     cause: Option<Cause>,
-    lines: Vec<Line>,
-    /// Lines that are no log lines, by file.
+    lines: Vec<LogLine>,
+    /// Number of lines that are not log lines, by file.
     foreign: BTreeMap<String, u64>,
 }
 
@@ -37,66 +37,66 @@
 struct Cause {
     outcome: String,
     reason: Option<String>,
-    /// The line that comes right before it and names a cause of its own.
+    /// The last earlier line that names a cause.
     evidence: Option<String>,
 }
 
-/// One log line about the request.
+/// A log line about the request.
 #[derive(Debug, Serialize)]
-struct Line {
+struct LogLine {
     file: String,
     ts: String,
     message: String,
     fields: Fields,
 }
 
-/// Reads the files and prints the story.
+/// Reads the files and prints the explanation.
 pub fn run(options: &Explain, output: Output) -> Result<(), Error> {
     if options.files.is_empty() {
         let message = "a log file is missing: explain REQUEST-ID FILE...".to_owned();
         return Err(Error::Usage(message));
     }
-    let mut story = Story {
+    let mut explanation = Explanation {
         request_id: options.request.clone(),
         cause: None,
         lines: Vec::new(),
         foreign: BTreeMap::new(),
     };
     for path in &options.files {
-        read(path, &mut story)?;
+        read(path, &mut explanation)?;
     }
-    if story.lines.is_empty() {
+    if explanation.lines.is_empty() {
         let message = format!(
             "no line of these files tells of request {}",
-            story.request_id
+            explanation.request_id
         );
         return Err(Error::Unexpected(message));
     }
-    story.lines.sort_by(|one, other| one.ts.cmp(&other.ts));
-    story.cause = cause(&story.lines);
-    output.print(&story, || text(&story))
+    explanation.lines.sort_by(|a, b| a.ts.cmp(&b.ts));
+    explanation.cause = find_cause(&explanation.lines);
+    output.print(&explanation, || text(&explanation))
 }
 
-fn read(path: &Path, story: &mut Story) -> Result<(), Error> {
+fn read(path: &Path, explanation: &mut Explanation) -> Result<(), Error> {
     let file = path.display().to_string();
     logs::read(path, |fields| {
         let Some(mut fields) = fields else {
-            *story.foreign.entry(file.clone()).or_default() += 1;
+            *explanation.foreign.entry(file.clone()).or_default() += 1;
             return;
         };
-        if fields.get("request_id").and_then(Value::as_str) != Some(&story.request_id) {
+        if fields.get("request_id").and_then(Value::as_str) != Some(&explanation.request_id) {
             return;
         }
-        let take = |name: &str| {
+        let text_field = |name: &str| {
             fields
                 .get(name)
                 .and_then(Value::as_str)
                 .unwrap_or("-")
                 .to_owned()
         };
-        let (ts, message) = (take("ts"), take("msg"));
-        fields.retain(|name, value| !COMMON.contains(&name.as_str()) && !value.is_null());
-        story.lines.push(Line {
+        let (ts, message) = (text_field("ts"), text_field("msg"));
+        fields.retain(|name, value| !OMITTED_FIELDS.contains(&name.as_str()) && !value.is_null());
+        explanation.lines.push(LogLine {
             file: file.clone(),
             ts,
             message,
@@ -105,49 +105,51 @@
     })
 }
 
-fn cause(lines: &[Line]) -> Option<Cause> {
-    let is_end = |line: &&Line| ENDS.contains(&line.message.as_str());
+fn find_cause(lines: &[LogLine]) -> Option<Cause> {
+    let is_end = |line: &&LogLine| END_MESSAGES.contains(&line.message.as_str());
     let last = lines.iter().rposition(|line| is_end(&line))?;
-    let field = |line: &Line, name: &str| {
+    let field = |line: &LogLine, name: &str| {
         let value = line.fields.get(name);
         value.and_then(Value::as_str).map(str::to_owned)
     };
     let outcome = field(&lines[last], "outcome")?;
-    let mut before = lines[..last].iter().rev();
-    let evidence = before.find_map(|line| Some((line, field(line, "cause")?)));
+    let mut earlier = lines[..last].iter().rev();
+    let evidence = earlier.find_map(|line| Some((line, field(line, "cause")?)));
     let evidence = evidence.map(|(line, cause)| {
         let server = field(line, "server").unwrap_or_else(|| "-".to_owned());
         format!("{}: {cause} (server {server}, {})", line.message, line.ts)
     });
     let reason = field(&lines[last], "reason");
     Some(Cause {
-        reason: reason.or_else(|| (outcome == CALLER_GONE).then(|| hung_up(&lines[last]))),
+        reason: reason.or_else(|| (outcome == CALLER_GONE).then(|| hang_up_reason(&lines[last]))),
         evidence: evidence.filter(|_| outcome != ANSWERED),
         outcome,
     })
 }
 
-/// Where a request stood whose caller hung up.
-fn hung_up(end: &Line) -> String {
+/// Describes how far a request had come when its caller closed the connection.
+fn hang_up_reason(end: &LogLine) -> String {
     let number = |name: &str| end.fields.get(name).and_then(Value::as_u64);
-    let all = number("ms").unwrap_or_default();
+    let total = number("ms").unwrap_or_default();
     let server = end.fields.get("server").and_then(Value::as_str);
     match (server, number("waited_ms"), number("first_ms")) {
-        (_, None, _) => format!("its caller hung up after {all} ms, while it waited for a server"),
+        (_, None, _) => {
+            format!("its caller hung up after {total} ms, while it waited for a server")
+        }
         (server, Some(waited), None) => format!(
-            "its caller hung up after {all} ms; it had a server ({}) after {waited} ms and no answer yet",
+            "its caller hung up after {total} ms; it had a server ({}) after {waited} ms and no answer yet",
             server.unwrap_or("-")
         ),
         (_, _, Some(first)) => format!(
-            "its caller hung up after {all} ms, in the middle of the answer that began at {first} ms"
+            "its caller hung up after {total} ms, in the middle of the answer that began at {first} ms"
         ),
     }
 }
 
-fn text(story: &Story) -> String {
-    let mut text = format!("request {}", story.request_id);
-    match &story.cause {
-        None => text.push_str(": its end is not told"),
+fn text(explanation: &Explanation) -> String {
+    let mut text = format!("request {}", explanation.request_id);
+    match &explanation.cause {
+        None => text.push_str(": no log line says how it ended"),
         Some(cause) => {
             let _ = write!(text, ": {}", cause.outcome);
             if let Some(reason) = &cause.reason {
@@ -158,13 +160,13 @@
             }
         }
     }
-    for line in &story.lines {
+    for line in &explanation.lines {
         let _ = write!(text, "\n{} {} [{}]", line.ts, line.message, line.file);
         for (name, value) in &line.fields {
             let _ = write!(text, " {name}={value}");
         }
     }
-    for (file, count) in &story.foreign {
+    for (file, count) in &explanation.foreign {
         let _ = write!(text, "\n{file}: {count} lines are no log lines");
     }
     text
--- a/cypressvane_ctl/src/hosts.rs
+++ b/cypressvane_ctl/src/hosts.rs
@@ -1,4 +1,4 @@
-//! `cypressvane status`, `dump` and `drain`: the hosts.
+//! `cypressvane status`, `dump` and `drain`: shows and drains hosts.
 
 use cypressvane::dump::Dump;
 use cypressvane::host::State;
@@ -6,39 +6,39 @@
 use serde::Serialize;
 
 use crate::error::Error;
-use crate::operator::{Operator, parse};
+use crate::operator::{Client, parse};
 use crate::output::{Output, write_line};
 
-/// A host as the operator sees it.
+/// A host with its state.
 #[derive(Debug, Serialize)]
-struct Line {
+struct HostStatus {
     host: String,
-    /// `None` when it gave no answer.
+    /// The state; `None` if the host gave no answer.
     state: Option<State>,
-    /// Why it gave none.
+    /// The error if the host gave no answer.
     cause: Option<String>,
 }
 
 /// Shows every host's state.
-pub async fn status(operator: &Operator, output: Output) -> Result<(), Error> {
+pub async fn status(client: &Client, output: Output) -> Result<(), Error> {
     let mut lines = Vec::new();
-    for entry in operator.hosts().await? {
-        let state = operator.state(&entry).await;
+    for entry in client.hosts().await? {
+        let state = client.state(&entry).await;
         let cause = state.as_ref().err().map(ToString::to_string);
-        lines.push(Line {
+        lines.push(HostStatus {
             host: entry.name.to_string(),
             state: state.ok(),
             cause,
         });
     }
-    lines.sort_by(|one, other| one.host.cmp(&other.host));
+    lines.sort_by(|a, b| a.host.cmp(&b.host));
     output.print(&lines, || {
         let texts: Vec<String> = lines.iter().map(text).collect();
         texts.join("\n")
     })
 }
 
-fn text(line: &Line) -> String {
+fn text(line: &HostStatus) -> String {
     let Some(state) = &line.state else {
         return format!(
             "{}  {}",
@@ -54,20 +54,20 @@
     format!("{}  {what}  version {}", line.host, state.version)
 }
 
-/// Shows a host's whole state.
-pub async fn dump(operator: &Operator, host: &str) -> Result<(), Error> {
-    let address = operator.find(host).await?;
-    let reply = operator.call_at(address, Method::Get, "/dump", "").await?;
+/// Shows the full state of a host.
+pub async fn dump(client: &Client, host: &str) -> Result<(), Error> {
+    let address = client.operators_address(host).await?;
+    let reply = client.call_at(address, Method::Get, "/dump", "").await?;
     let dump: Dump = parse(&reply)?;
     let text = serde_json::to_string_pretty(&dump)
         .map_err(|error| Error::Unexpected(error.to_string()))?;
     write_line(&text)
 }
 
-/// Lets a host leave.
-pub async fn drain(operator: &Operator, host: &str, output: Output) -> Result<(), Error> {
-    let address = operator.find(host).await?;
-    let reply = operator
+/// Orders a host to drain.
+pub async fn drain(client: &Client, host: &str, output: Output) -> Result<(), Error> {
+    let address = client.operators_address(host).await?;
+    let reply = client
         .call_at(address, Method::Post, "/v1/drain", "")
         .await?;
     let state: State = parse(&reply)?;
--- a/cypressvane_ctl/src/main.rs
+++ b/cypressvane_ctl/src/main.rs
@@ -25,10 +25,10 @@
 
 use crate::cli::{Command, Options};
 use crate::error::Error;
-use crate::operator::Operator;
+use crate::operator::Client;
 use crate::output::Output;
 
-/// Worker threads; a command waits for a few answers at a time.
+/// Number of worker threads; a command waits for only a few answers at a time.
 const THREADS: usize = 1;
 
 fn main() -> ExitCode {
@@ -63,18 +63,18 @@
     if let Command::Profile(files) = &command {
         return profile::run(files, output);
     }
-    let operator = Operator::new(options.host, options.key)?;
+    let client = Client::new(options.host, options.key)?;
     runtime::start(THREADS);
     smol::block_on(async {
         match command {
-            Command::Config(config) => config::run(&operator, config, output).await,
-            Command::Status(_) => hosts::status(&operator, output).await,
-            Command::Dump(dump) => hosts::dump(&operator, &dump.host).await,
-            Command::Drain(drain) => hosts::drain(&operator, &drain.host, output).await,
-            Command::Engine(engine) => engine::run(&operator, engine, output).await,
-            Command::Engines(_) => engines::run(&operator, output).await,
-            Command::Quarantine(what) => quarantine::run(&operator, what, output).await,
-            Command::Rollout(_) => rollout::run(&operator, output).await,
+            Command::Config(config) => config::run(&client, config, output).await,
+            Command::Status(_) => hosts::status(&client, output).await,
+            Command::Dump(dump) => hosts::dump(&client, &dump.host).await,
+            Command::Drain(drain) => hosts::drain(&client, &drain.host, output).await,
+            Command::Engine(engine) => engine::run(&client, engine, output).await,
+            Command::Engines(_) => engines::run(&client, output).await,
+            Command::Quarantine(command) => quarantine::run(&client, command, output).await,
+            Command::Rollout(_) => rollout::run(&client, output).await,
             Command::Policy(_) | Command::Explain(_) | Command::Profile(_) => Ok(()),
         }
     })
--- a/cypressvane_ctl/src/output.rs
+++ b/cypressvane_ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What a command prints.
+//! Prints the results of commands.
 
 use std::io::{self, Write as _};
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 
 use crate::error::Error;
 
-/// How it is printed.
+/// The output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For a person.
+    /// Text for people.
     Text,
     /// One JSON value.
     Json,
@@ -28,19 +28,18 @@
     }
 }
 
-/// Prints what a command found.
+/// Prints the result of a command.
 #[derive(Clone, Copy, Debug)]
 pub struct Output {
     format: Format,
 }
 
 impl Output {
-    /// Prints in a format.
     pub fn new(format: Format) -> Self {
         Self { format }
     }
 
-    /// Prints a value as JSON, or its text.
+    /// Prints the value as JSON, or the text that `text` returns.
     pub fn print<T: Serialize>(
         self,
         value: &T,
@@ -55,7 +54,7 @@
     }
 }
 
-/// Prints a line; a reader that closed the pipe has read enough.
+/// Prints a line. A broken pipe is not an error, since its reader needs no more output.
 pub fn write_line(line: &str) -> Result<(), Error> {
     match writeln!(io::stdout(), "{line}") {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => {
--- a/cypressvane_ctl/src/policy.rs
+++ b/cypressvane_ctl/src/policy.rs
@@ -1,4 +1,4 @@
-//! `cypressvane policy check`: compiles a program and tries it on example requests.
+//! `cypressvane policy check`: compiles a program and runs it on example requests.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use crate::error::Error;
 use crate::output::Output;
 
-/// An example request; what is left out is taken from an ordinary one.
+/// An example request with the state of its queue; omitted fields have defaults.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 struct Example {
@@ -51,7 +51,7 @@
     }
 }
 
-/// What a program decided on an example.
+/// A program's decision on an example.
 #[derive(Debug, Serialize)]
 struct Decision {
     request: Example,
--- a/cypressvane_ctl/src/profile.rs
+++ b/cypressvane_ctl/src/profile.rs
@@ -1,4 +1,4 @@
-//! Tells from log files where the time of answered requests went.
+//! `cypressvane profile`: summarizes from log files where answered requests spent their time.
 
 mod plot;
 
@@ -13,11 +13,12 @@
 use crate::logs::{self, Fields};
 use crate::output::Output;
 
-/// The line at the end of a request.
-const REQUEST: &str = "request";
-/// The outcome of a request that was answered.
+/// Message of the log line at the end of a request.
+const REQUEST_MESSAGE: &str = "request";
+/// Outcome of a request that was answered.
 const ANSWERED: &str = "answered";
-/// The parts of a request's way: each ends at a number of its line, in milliseconds from its arrival.
+/// The parts of a request's duration, in order, each with the log field that holds its end, in
+/// milliseconds since the request arrived.
 const PARTS: [(&str, &str); 5] = [
     ("read and admitted", "admitted_ms"),
     ("waiting for a grant", "waited_ms"),
@@ -26,14 +27,14 @@
     ("the rest of the answer", "ms"),
 ];
 
-/// The way of the answered requests of one service.
+/// The durations of the answered requests of one service.
 #[derive(Debug, Serialize)]
-struct Way {
+struct Profile {
     requests: usize,
     parts: Vec<Part>,
 }
 
-/// One part of the way, in milliseconds.
+/// The durations of one part, in milliseconds.
 #[derive(Debug, Serialize)]
 struct Part {
     name: &'static str,
@@ -43,52 +44,52 @@
     p99: u64,
 }
 
-/// Reads the files, prints the table, and draws the plot if one is asked for.
+/// Reads the files, prints the table, and draws the chart if one is requested.
 pub fn run(options: &Options, output: Output) -> Result<(), Error> {
     if options.files.is_empty() {
         let message = "a log file is missing: profile FILE...".to_owned();
         return Err(Error::Usage(message));
     }
-    let mut taken: BTreeMap<String, Vec<[u64; PARTS.len()]>> = BTreeMap::new();
+    let mut durations: BTreeMap<String, Vec<[u64; PARTS.len()]>> = BTreeMap::new();
     for path in &options.files {
         logs::read(path, |fields| {
             if let Some((service, parts)) = fields.as_ref().and_then(parts) {
-                taken.entry(service).or_default().push(parts);
+                durations.entry(service).or_default().push(parts);
             }
         })?;
     }
-    if taken.is_empty() {
-        let message = "no line of these files tells of an answered request".to_owned();
+    if durations.is_empty() {
+        let message = "these files have no line about an answered request".to_owned();
         return Err(Error::Unexpected(message));
     }
-    let ways: BTreeMap<String, Way> = taken
+    let profiles: BTreeMap<String, Profile> = durations
         .into_iter()
-        .map(|(service, requests)| (service, way(&requests)))
+        .map(|(service, requests)| (service, summarize(&requests)))
         .collect();
     if let Some(path) = &options.plot {
-        plot::draw(path, &ways)?;
+        plot::draw(path, &profiles)?;
     }
-    output.print(&ways, || text(&ways))
+    output.print(&profiles, || text(&profiles))
 }
 
-/// The service of an answered request, and what each part of its way took.
+/// Returns the service of an answered request and the duration of each part, in milliseconds.
 fn parts(fields: &Fields) -> Option<(String, [u64; PARTS.len()])> {
     let text = |name: &str| fields.get(name).and_then(Value::as_str);
-    if text("msg") != Some(REQUEST) || text("outcome") != Some(ANSWERED) {
+    if text("msg") != Some(REQUEST_MESSAGE) || text("outcome") != Some(ANSWERED) {
         return None;
     }
     let mut parts = [0; PARTS.len()];
-    let mut before = 0;
+    let mut previous_end = 0;
     for (part, (_, name)) in parts.iter_mut().zip(PARTS) {
         let end = fields.get(name).and_then(Value::as_u64)?;
-        // A request that was sent again had its first answer from another server than its last grant.
-        *part = end.saturating_sub(before);
-        before = end.max(before);
+        // After a retry, the first answer can be older than the last grant, since it came from another server.
+        *part = end.saturating_sub(previous_end);
+        previous_end = end.max(previous_end);
     }
     Some((text("service")?.to_owned(), parts))
 }
 
-fn way(requests: &[[u64; PARTS.len()]]) -> Way {
+fn summarize(requests: &[[u64; PARTS.len()]]) -> Profile {
     let part = |index: usize| {
         let mut times: Vec<u64> = requests.iter().map(|parts| parts[index]).collect();
         times.sort_unstable();
@@ -106,22 +107,26 @@
             p99: at(99),
         }
     };
-    Way {
+    Profile {
         requests: requests.len(),
         parts: (0..PARTS.len()).map(part).collect(),
     }
 }
 
-fn text(ways: &BTreeMap<String, Way>) -> String {
+fn text(profiles: &BTreeMap<String, Profile>) -> String {
     let mut text = String::new();
-    for (service, way) in ways {
-        let _ = writeln!(text, "{service}: {} answered requests, in ms", way.requests);
+    for (service, profile) in profiles {
+        let _ = writeln!(
+            text,
+            "{service}: {} answered requests, in ms",
+            profile.requests
+        );
         let _ = writeln!(
             text,
             "  {:24}{:>9}{:>8}{:>8}{:>8}",
             "", "mean", "p50", "p95", "p99"
         );
-        for part in &way.parts {
+        for part in &profile.parts {
             let _ = writeln!(
                 text,
                 "  {:24}{:>9.1}{:>8}{:>8}{:>8}",
--- a/cypressvane_ctl/src/profile/plot.rs
+++ b/cypressvane_ctl/src/profile/plot.rs
@@ -1,4 +1,4 @@
-//! Draws the mean of each part of a request's way to its first answer, one bar a service.
+//! Draws the mean duration of each part up to the first answer, one bar per service.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,27 +6,28 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-use super::Way;
+use super::Profile;
 use crate::error::Error;
 
-/// Size of the picture, in pixels.
+/// Size of the chart, in pixels.
 const SIZE: (u32, u32) = (960, 480);
-/// Height of a letter, in pixels.
-const LETTERS: u32 = 16;
-/// The parts up to the first answer; what comes after it hangs on the answer's length.
-const TO_FIRST_ANSWER: usize = 4;
-/// Colours of the parts, in their order.
-const COLOURS: [RGBColor; TO_FIRST_ANSWER] = [
+/// Font height, in pixels.
+const FONT_HEIGHT: u32 = 16;
+/// Number of parts up to the first answer. The last part is left out, since it depends on the length
+/// of the answer.
+const SHOWN_PARTS: usize = 4;
+/// Colours of the parts, in order.
+const COLOURS: [RGBColor; SHOWN_PARTS] = [
     RGBColor(120, 120, 120),
     RGBColor(214, 120, 30),
     RGBColor(60, 150, 90),
     RGBColor(50, 100, 180),
 ];
 
-/// Draws the ways into a file.
-pub fn draw(path: &Path, ways: &BTreeMap<String, Way>) -> Result<(), Error> {
+/// Draws the profiles into an SVG file.
+pub fn draw(path: &Path, profiles: &BTreeMap<String, Profile>) -> Result<(), Error> {
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
-    paint(&area, ways).map_err(|error| Error::Document {
+    paint(&area, profiles).map_err(|error| Error::Document {
         path: path.to_owned(),
         cause: error.to_string(),
     })
@@ -34,20 +35,20 @@
 
 fn paint<B: DrawingBackend>(
     area: &DrawingArea<B, Shift>,
-    ways: &BTreeMap<String, Way>,
+    profiles: &BTreeMap<String, Profile>,
 ) -> Result<(), DrawingAreaErrorKind<B::ErrorType>> {
     area.fill(&WHITE)?;
-    let total = |way: &Way| -> f64 { shown(way).map(|(mean, _)| mean).sum() };
-    let longest = ways.values().map(total).fold(1.0, f64::max);
-    let services: Vec<&String> = ways.keys().collect();
+    let total = |profile: &Profile| -> f64 { shown_parts(profile).map(|(mean, _)| mean).sum() };
+    let longest = profiles.values().map(total).fold(1.0, f64::max);
+    let services: Vec<&String> = profiles.keys().collect();
     let mut chart = ChartBuilder::on(area)
         .caption(
             "mean time to the first answer, in ms",
-            ("sans-serif", LETTERS),
+            ("sans-serif", FONT_HEIGHT),
         )
-        .margin(LETTERS)
-        .x_label_area_size(2 * LETTERS)
-        .y_label_area_size(8 * LETTERS)
+        .margin(FONT_HEIGHT)
+        .x_label_area_size(2 * FONT_HEIGHT)
+        .y_label_area_size(8 * FONT_HEIGHT)
         .build_cartesian_2d(0.0..longest, (0..services.len()).into_segmented())?;
     let name = |place: &SegmentValue<usize>| match place {
         SegmentValue::CenterOf(index) => services.get(*index).map_or("", |name| name).to_owned(),
@@ -58,13 +59,13 @@
         .disable_y_mesh()
         .y_label_formatter(&name)
         .draw()?;
-    for (index, (name, colour)) in names().enumerate() {
-        let bars = ways.values().enumerate().map(|(row, way)| {
-            let before: f64 = shown(way).take(index).map(|(mean, _)| mean).sum();
-            let mean = way.parts[index].mean;
+    for (index, (name, colour)) in names_and_colours().enumerate() {
+        let bars = profiles.values().enumerate().map(|(row, profile)| {
+            let before: f64 = shown_parts(profile).take(index).map(|(mean, _)| mean).sum();
+            let mean = profile.parts[index].mean;
             let (top, bottom) = (SegmentValue::Exact(row), SegmentValue::Exact(row + 1));
             let mut bar = Rectangle::new([(before, top), (before + mean, bottom)], colour.filled());
-            bar.set_margin(LETTERS, LETTERS, 0, 0);
+            bar.set_margin(FONT_HEIGHT, FONT_HEIGHT, 0, 0);
             bar
         });
         chart
@@ -79,13 +80,13 @@
     area.present()
 }
 
-/// The means up to the first answer.
-fn shown(way: &Way) -> impl Iterator<Item = (f64, &'static str)> {
-    let parts = way.parts.iter().take(TO_FIRST_ANSWER);
+/// Returns the mean and the name of each part up to the first answer.
+fn shown_parts(profile: &Profile) -> impl Iterator<Item = (f64, &'static str)> {
+    let parts = profile.parts.iter().take(SHOWN_PARTS);
     parts.map(|part| (part.mean, part.name))
 }
 
-/// The names of the parts with their colours.
-fn names() -> impl Iterator<Item = (&'static str, RGBColor)> {
+/// Returns the name and the colour of each part up to the first answer.
+fn names_and_colours() -> impl Iterator<Item = (&'static str, RGBColor)> {
     super::PARTS.iter().map(|(name, _)| *name).zip(COLOURS)
 }
--- a/cypressvane_ctl/src/quarantine.rs
+++ b/cypressvane_ctl/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! `cypressvane quarantine`: requests under which backend servers ended.
+//! `cypressvane quarantine`: requests during which backend servers ended.
 
 use std::time::Duration;
 
@@ -8,33 +8,33 @@
 
 use crate::cli::{Quarantine, QuarantineCommand};
 use crate::error::Error;
-use crate::operator::{Operator, parse};
+use crate::operator::{Client, parse};
 use crate::output::Output;
 
-/// Where hosts tell of them.
+/// Path of the quarantine on the listener for operators.
 const PATH: &str = "/v1/quarantine";
 
 /// Runs a subcommand.
-pub async fn run(operator: &Operator, what: Quarantine, output: Output) -> Result<(), Error> {
-    let (method, path) = match what.command {
+pub async fn run(client: &Client, quarantine: Quarantine, output: Output) -> Result<(), Error> {
+    let (method, path) = match quarantine.command {
         None | Some(QuarantineCommand::List(_)) => (Method::Get, PATH.to_owned()),
         Some(QuarantineCommand::Release(release)) => {
             let fingerprint = fingerprint(&release.fingerprint)?;
             (Method::Delete, format!("{PATH}/{fingerprint}"))
         }
     };
-    let reply = operator.call(method, &path, "").await?;
+    let reply = client.call(method, &path, "").await?;
     let list: Vec<Quarantined> = parse(&reply)?;
     output.print(&list, || text(&list))
 }
 
 fn fingerprint(text: &str) -> Result<Fingerprint, Error> {
-    let wrong = || {
+    let invalid = || {
         Error::Usage(format!(
             "a fingerprint: {text:?} found, 32 hexadecimal digits allowed"
         ))
     };
-    Fingerprint::parse(text).ok_or_else(wrong)
+    Fingerprint::parse(text).ok_or_else(invalid)
 }
 
 fn text(list: &[Quarantined]) -> String {
@@ -45,14 +45,14 @@
     lines.join("\n")
 }
 
-fn line(one: &Quarantined) -> String {
-    let state = if one.kept { "kept back" } else { "suspect" };
-    let account = one.account.as_deref().unwrap_or("-");
-    let seconds = Duration::from_millis(one.since_ms).as_secs();
+fn line(request: &Quarantined) -> String {
+    let state = if request.kept { "kept back" } else { "suspect" };
+    let account = request.account.as_deref().unwrap_or("-");
+    let seconds = Duration::from_millis(request.since_ms).as_secs();
     format!(
         "{}  {state}  for {seconds} s  account {account}  path {}  servers {}",
-        one.fingerprint,
-        one.path,
-        one.servers.join(", ")
+        request.fingerprint,
+        request.path,
+        request.servers.join(", ")
     )
 }
--- a/cypressvane_ctl/src/rollout.rs
+++ b/cypressvane_ctl/src/rollout.rs
@@ -1,45 +1,51 @@
-//! `cypressvane rollout`: orders to move services' traffic to other versions.
+//! `cypressvane rollout`: lists the orders to move a service's traffic to another version.
 
 use cypressvane::dump::Rollout;
 use cypressvane::platform::{Entry, Kind};
 use http_types::Method;
 
 use crate::error::Error;
-use crate::operator::{Operator, parse};
+use crate::operator::{Client, parse};
 use crate::output::Output;
 
-/// Where hosts tell of them.
+/// Path of the roll-outs on the listener for operators.
 const PATH: &str = "/v1/rollouts";
 
-/// Lists them, each with the evidence that its coordinator has.
-pub async fn run(operator: &Operator, output: Output) -> Result<(), Error> {
-    let reply = operator.call(Method::Get, PATH, "").await?;
+/// Lists the roll-outs, each with the evidence from its coordinator.
+pub async fn run(client: &Client, output: Output) -> Result<(), Error> {
+    let reply = client.call(Method::Get, PATH, "").await?;
     let mut list: Vec<Rollout> = parse(&reply)?;
-    let hosts = operator.hosts().await?;
+    let hosts = client.hosts().await?;
     for rollout in &mut list {
         if rollout.evidence.is_none()
-            && let Some(told) = told_by_coordinator(operator, &hosts, rollout).await?
+            && let Some(fetched) = fetch_from_coordinator(client, &hosts, rollout).await?
         {
-            *rollout = told;
+            *rollout = fetched;
         }
     }
     output.print(&list, || text(&list))
 }
 
-/// The same roll-out as the host tells of it that decides on it.
-async fn told_by_coordinator(
-    operator: &Operator,
+/// Fetches the roll-out from its coordinator; `None` if the coordinator has no address or does not list it.
+async fn fetch_from_coordinator(
+    client: &Client,
     hosts: &[Entry],
     rollout: &Rollout,
 ) -> Result<Option<Rollout>, Error> {
-    let is_it = |entry: &&Entry| entry.kind == Kind::Entry && entry.name == rollout.coordinator;
-    let Some(address) = hosts.iter().find(is_it).and_then(|entry| entry.operators) else {
+    let is_coordinator =
+        |entry: &&Entry| entry.kind == Kind::Entry && entry.name == rollout.coordinator;
+    let Some(address) = hosts
+        .iter()
+        .find(is_coordinator)
+        .and_then(|entry| entry.operators)
+    else {
         return Ok(None);
     };
-    let reply = operator.call_at(address, Method::Get, PATH, "").await?;
+    let reply = client.call_at(address, Method::Get, PATH, "").await?;
     let list: Vec<Rollout> = parse(&reply)?;
-    let same = |told: &Rollout| told.service == rollout.service && told.number == rollout.number;
-    Ok(list.into_iter().find(same))
+    let is_same =
+        |other: &Rollout| other.service == rollout.service && other.number == rollout.number;
+    Ok(list.into_iter().find(is_same))
 }
 
 fn text(list: &[Rollout]) -> String {
@@ -60,11 +66,11 @@
         rollout.coordinator,
     );
     if let Some(evidence) = &rollout.evidence {
-        let told = format!(
+        let summary = format!(
             "  phase {}  {} of {} requests allowed  {} answers  {} failures",
             evidence.phase, evidence.dealt, evidence.requests, evidence.answers, evidence.failures,
         );
-        line.push_str(&told);
+        line.push_str(&summary);
         if !evidence.why.is_empty() {
             line.push_str("  ");
             line.push_str(&evidence.why);
--- a/cypressvane_ctl/tests/commands.rs
+++ b/cypressvane_ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The tool against a running fleet: what it prints and how it ends.
+//! Tests the output and exit codes of the tool, with and without a running fleet.
 
 use std::env;
 use std::fs;
@@ -9,7 +9,7 @@
 use cypressvane::{digest, runtime};
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY};
 
-/// A file in the temporary folder, removed in the end.
+/// A temporary file that is removed when it is dropped.
 struct File(PathBuf);
 
 impl File {
@@ -48,7 +48,7 @@
         .expect("the tool starts")
 }
 
-fn said(output: &Output) -> String {
+fn printed(output: &Output) -> String {
     let out = String::from_utf8_lossy(&output.stdout);
     let err = String::from_utf8_lossy(&output.stderr);
     format!("{out}{err}")
@@ -58,33 +58,33 @@
     name: &'static str,
     arguments: Vec<&'a str>,
     code: i32,
-    says: Vec<&'static str>,
+    expected: Vec<&'static str>,
 }
 
-fn check(cases: &[Case<'_>], before: &[&str]) {
+fn check(cases: &[Case<'_>], global_arguments: &[&str]) {
     for case in cases {
-        let arguments = [before, &case.arguments].concat();
+        let arguments = [global_arguments, &case.arguments].concat();
         let output = tool(&arguments);
-        let said = said(&output);
+        let printed = printed(&output);
         assert_eq!(
             output.status.code(),
             Some(case.code),
-            "{}: {said}",
+            "{}: {printed}",
             case.name
         );
-        for words in &case.says {
+        for substring in &case.expected {
             assert!(
-                said.contains(words),
-                "{}: {words:?} is not in {said}",
+                printed.contains(substring),
+                "{}: {substring:?} is not in {printed}",
                 case.name
             );
         }
-        assert!(!said.contains("panicked"), "{}: {said}", case.name);
+        assert!(!printed.contains("panicked"), "{}: {printed}", case.name);
     }
 }
 
 #[test]
-fn a_fleet_is_operated() {
+fn commands_work_on_a_running_fleet() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| runtime::start(2));
     let first = File::new("first.toml", &configuration("urgent"));
@@ -105,109 +105,109 @@
         fleet
     });
     let host = fleet.operators(0).to_string();
-    let before = ["--host", &host, "--key", OPERATOR_KEY];
+    let global_arguments = ["--host", &host, "--key", OPERATOR_KEY];
     let cases = [
         Case {
             name: "a document that does not check",
             arguments: vec!["config", "submit", broken.path()],
             code: 2,
-            says: vec!["tiers", "two words"],
+            expected: vec!["tiers", "two words"],
         },
         Case {
             name: "a policy that does not compile",
             arguments: vec!["config", "submit", policy.path()],
             code: 2,
-            says: vec!["policy \"p\"", "line 1, column"],
+            expected: vec!["policy \"p\"", "line 1, column"],
         },
         Case {
             name: "nothing to show",
             arguments: vec!["config", "show"],
             code: 1,
-            says: vec!["not_ready"],
+            expected: vec!["not_ready"],
         },
         Case {
             name: "the first version",
             arguments: vec!["config", "submit", first.path()],
             code: 0,
-            says: vec!["version 1 is in force on 2 hosts"],
+            expected: vec!["version 1 is in force on 2 hosts"],
         },
         Case {
-            name: "a submission that lost",
+            name: "a submission with an old base",
             arguments: vec!["config", "submit", "--base", "0", second.path()],
             code: 1,
-            says: vec!["conflict", "version 1 was accepted from bootstrap"],
+            expected: vec!["conflict", "version 1 was accepted from bootstrap"],
         },
         Case {
             name: "the second version",
             arguments: vec!["config", "submit", "--base", "1", second.path()],
             code: 0,
-            says: vec!["version 2 is in force on 2 hosts"],
+            expected: vec!["version 2 is in force on 2 hosts"],
         },
         Case {
             name: "show",
             arguments: vec!["config", "show"],
             code: 0,
-            says: vec!["name = \"prompt\""],
+            expected: vec!["name = \"prompt\""],
         },
         Case {
             name: "history",
             arguments: vec!["config", "history"],
             code: 0,
-            says: vec!["bootstrap", "operator"],
+            expected: vec!["bootstrap", "operator"],
         },
         Case {
             name: "status",
             arguments: vec!["status"],
             code: 0,
-            says: vec!["host-0  ready  version 2", "host-1  ready  version 2"],
+            expected: vec!["host-0  ready  version 2", "host-1  ready  version 2"],
         },
         Case {
             name: "dump",
             arguments: vec!["dump", "host-1"],
             code: 0,
-            says: vec!["\"incarnation\"", "\"peers\""],
+            expected: vec!["\"incarnation\"", "\"peers\""],
         },
         Case {
-            name: "no request is kept back",
+            name: "no request is quarantined",
             arguments: vec!["quarantine"],
             code: 0,
-            says: vec!["no request is kept from the backend servers"],
+            expected: vec!["no request is kept from the backend servers"],
         },
         Case {
-            name: "a release of what is not kept back",
+            name: "a release of a request that is not quarantined",
             arguments: vec!["quarantine", "release", "773392554c5f96dfb3d36c1452ed3da9"],
             code: 1,
-            says: vec!["not_found", "no such request"],
+            expected: vec!["not_found", "no such request"],
         },
         Case {
-            name: "a release of what is no fingerprint",
+            name: "a release of an invalid fingerprint",
             arguments: vec!["quarantine", "release", "../config"],
             code: 2,
-            says: vec!["../config", "32 hexadecimal digits"],
+            expected: vec!["../config", "32 hexadecimal digits"],
         },
         Case {
             name: "an unknown host",
             arguments: vec!["dump", "nobody"],
             code: 2,
-            says: vec!["no such host", "nobody"],
+            expected: vec!["no such host", "nobody"],
         },
         Case {
             name: "drain",
             arguments: vec!["drain", "host-1"],
             code: 0,
-            says: vec!["host-1 is draining"],
+            expected: vec!["host-1 is draining"],
         },
     ];
-    check(&cases, &before);
+    check(&cases, &global_arguments);
     let wrong_key = ["--host", &host, "--key", "wrong", "--output", "json"];
     let refused = Case {
         name: "a wrong key",
         arguments: vec!["status"],
         code: 1,
-        says: vec!["unauthorized"],
+        expected: vec!["unauthorized"],
     };
     check(&[refused], &wrong_key);
-    let output = tool(&[&before[..], &["--output", "json", "status"]].concat());
+    let output = tool(&[&global_arguments[..], &["--output", "json", "status"]].concat());
     let value: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(value[0]["state"]["version"], 2);
 }
@@ -231,43 +231,43 @@
             name: "version",
             arguments: vec!["--version"],
             code: 0,
-            says: vec!["0.1.0"],
+            expected: vec!["0.1.0"],
         },
         Case {
             name: "help",
             arguments: vec!["--help"],
             code: 0,
-            says: vec!["config", "drain"],
+            expected: vec!["config", "drain"],
         },
         Case {
             name: "help of a command",
             arguments: vec!["config", "submit", "--help"],
             code: 0,
-            says: vec!["--base"],
+            expected: vec!["--base"],
         },
         Case {
             name: "nothing",
             arguments: vec![],
             code: 2,
-            says: vec!["a command is missing"],
+            expected: vec!["a command is missing"],
         },
         Case {
             name: "nonsense",
             arguments: vec!["nonsense"],
             code: 2,
-            says: vec!["nonsense"],
+            expected: vec!["nonsense"],
         },
         Case {
             name: "no key",
             arguments: vec!["status"],
             code: 2,
-            says: vec!["CYPRESSVANE_KEY"],
+            expected: vec!["CYPRESSVANE_KEY"],
         },
         Case {
             name: "no answer",
             arguments: vec!["--host", "127.0.0.1:1", "--key", "k", "status"],
             code: 3,
-            says: vec!["127.0.0.1:1 cannot be reached"],
+            expected: vec!["127.0.0.1:1 cannot be reached"],
         },
         Case {
             name: "a program",
@@ -279,25 +279,25 @@
                 examples.path(),
             ],
             code: 0,
-            says: vec!["waits with priority -7", "in tier cheap"],
+            expected: vec!["waits with priority -7", "in tier cheap"],
         },
         Case {
             name: "an endless program",
             arguments: vec!["policy", "check", endless.path()],
             code: 2,
-            says: vec!["operations"],
+            expected: vec!["operations"],
         },
         Case {
             name: "a program without a decision",
             arguments: vec!["policy", "check", nothing.path()],
             code: 2,
-            says: vec!["fn decide(request, queue) is missing"],
+            expected: vec!["fn decide(request, queue) is missing"],
         },
         Case {
             name: "a program that does not compile",
             arguments: vec!["policy", "check", wrong.path()],
             code: 2,
-            says: vec!["line 3, column 1"],
+            expected: vec!["line 3, column 1"],
         },
         Case {
             name: "wrong examples",
@@ -309,13 +309,13 @@
                 no_examples.path(),
             ],
             code: 2,
-            says: vec!["prompt_token"],
+            expected: vec!["prompt_token"],
         },
         Case {
             name: "no file",
             arguments: vec!["policy", "check", "/nonexistent.rhai"],
             code: 2,
-            says: vec!["/nonexistent.rhai"],
+            expected: vec!["/nonexistent.rhai"],
         },
     ];
     check(&cases, &[]);
--- a/cypressvane_ctl/tests/engines.rs
+++ b/cypressvane_ctl/tests/engines.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers: an engine's limit stands there as it was heard.
+//! Tests that `cypressvane engines` lists the rate limit that an engine announces.
 
 use std::path::Path;
 use std::process::Command;
@@ -11,7 +11,7 @@
 const MODEL: &str = "register-model";
 const KEY: &str = "rangers-key";
 
-/// A tier, an account, a service and the operator.
+/// Returns a configuration with a tier, an account, a service and an operator.
 fn configuration() -> String {
     format!(
         "[[tiers]]\nname = \"urgent\"\nfirst_token_ms = 460\nbetween_tokens_ms = 41\n\
@@ -23,7 +23,7 @@
     )
 }
 
-/// What the tool prints of all backend servers.
+/// Returns the output of `cypressvane engines`.
 fn engines(operators: &str) -> String {
     let output = Command::new(Path::new(env!("CARGO_BIN_EXE_cypressvane")))
         .args(["--host", operators, "--key", OPERATOR_KEY, "engines"])
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_engines_limit_stands_in_the_list() {
+fn the_list_contains_an_engines_limit() {
     runtime::start(2);
     smol::block_on(async {
         let mut fleet = Fleet::spawn()?;
@@ -46,19 +46,22 @@
             ..engine::Settings::default()
         };
         fleet.add_engine(MODEL, &settings).await?;
-        let what = Ask::new(KEY, MODEL, "a prompt");
+        let request = Ask::new(KEY, MODEL, "a prompt");
         let answered = async || {
-            let answer = ask(fleet.callers(0), &what).await;
+            let answer = ask(fleet.callers(0), &request).await;
             answer.is_ok_and(|answer| answer.whole)
         };
         fleet.until("a completion is answered", answered).await?;
-        let told = engines(&fleet.operators(0).to_string());
-        for words in [
+        let printed = engines(&fleet.operators(0).to_string());
+        for expected in [
             MODEL,
             "home host-0",
             "limit 2.5 requests a second, heard by host-0",
         ] {
-            assert!(told.contains(words), "{words:?} is not in {told}");
+            assert!(
+                printed.contains(expected),
+                "{expected:?} is not in {printed}"
+            );
         }
         Ok::<_, std::io::Error>(())
     })
--- a/cypressvane_ctl/tests/explain.rs
+++ b/cypressvane_ctl/tests/explain.rs
@@ -1,10 +1,10 @@
-//! A request's story from log files: its cause first, whatever else stands in them.
+//! Tests `cypressvane explain`: the cause is printed first, and lines that are not log lines are counted.
 
 use std::path::PathBuf;
 use std::process::Command;
 use std::{env, fs};
 
-/// A file in the temporary folder, removed in the end.
+/// A temporary file that is removed when it is dropped.
 struct File(PathBuf);
 
 impl File {
@@ -17,14 +17,14 @@
 
 impl Drop for File {
     fn drop(&mut self) {
-        // A file that stays does no harm.
+        // A leftover temporary file does no harm.
         let _ = fs::remove_file(&self.0);
     }
 }
 
-const HOME: &str = r#"{"msg":"a backend server is believed otherwise","ts":"2026-01-01T00:00:01Z","server":"i-1"}
+const HOME_LOG: &str = r#"{"msg":"a backend server is believed otherwise","ts":"2026-01-01T00:00:01Z","server":"i-1"}
 "#;
-const HOLDER: &str = r#"  12.0551 host-1 {"msg":"request","ts":"2026-01-01T00:00:03Z","request_id":"cut","outcome":"backend_failed","reason":"the backend server's answer broke off","server":"i-1","first_ms":null}
+const HOLDER_LOG: &str = r#"  12.0551 host-1 {"msg":"request","ts":"2026-01-01T00:00:03Z","request_id":"cut","outcome":"backend_failed","reason":"the backend server's answer broke off","server":"i-1","first_ms":null}
 {"msg":"a sending gave no answer that counts","ts":"2026-01-01T00:00:02Z","request_id":"cut","server":"i-1","cause":"connection reset","again":false}
 {"msg":"request","ts":"2026-01-01T00:00:04Z","request_id":"well","outcome":"answered","server":"i-2"}
 {"msg":"refused on arrival","ts":"2026-01-01T00:00:05Z","request_id":"stale","outcome":"platform_unavailable","reason":"the accounts' keys could not be confirmed for too long","confirmed_ms_ago":4903}
@@ -39,18 +39,18 @@
     name: &'static str,
     arguments: &'static [&'static str],
     code: i32,
-    says: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 #[test]
-fn a_story_has_its_cause_first() {
-    let files = [File::new("home", HOME), File::new("holder", HOLDER)];
+fn the_cause_is_printed_first() {
+    let files = [File::new("home", HOME_LOG), File::new("holder", HOLDER_LOG)];
     let cases = [
         Case {
             name: "cut by a server",
             arguments: &["cut"],
             code: 0,
-            says: &[
+            expected: &[
                 "request cut: backend_failed, because the backend server's answer broke off\n",
                 "before that: a sending gave no answer that counts: connection reset (server i-1",
                 "2026-01-01T00:00:02Z a sending gave",
@@ -59,51 +59,53 @@
             ],
         },
         Case {
-            name: "its caller left while it waited",
+            name: "its caller hung up while it waited",
             arguments: &["left-waiting"],
             code: 0,
-            says: &[
+            expected: &[
                 "caller_gone, because its caller hung up after 1045 ms, while it waited for a server",
             ],
         },
         Case {
-            name: "its caller left before the answer",
+            name: "its caller hung up before the answer",
             arguments: &["left-served"],
             code: 0,
-            says: &["hung up after 3200 ms; it had a server (i-3) after 3186 ms and no answer yet"],
+            expected: &[
+                "hung up after 3200 ms; it had a server (i-3) after 3186 ms and no answer yet",
+            ],
         },
         Case {
-            name: "its caller left in the middle",
+            name: "its caller hung up during the answer",
             arguments: &["left-midway"],
             code: 0,
-            says: &["hung up after 900 ms, in the middle of the answer that began at 60 ms"],
+            expected: &["hung up after 900 ms, in the middle of the answer that began at 60 ms"],
         },
         Case {
             name: "answered",
             arguments: &["well"],
             code: 0,
-            says: &["request well: answered\n"],
+            expected: &["request well: answered\n"],
         },
         Case {
-            name: "refused for want of fresh knowledge",
+            name: "refused since keys were not confirmed",
             arguments: &["stale"],
             code: 0,
-            says: &[
+            expected: &[
                 "because the accounts' keys could not be confirmed",
                 "confirmed_ms_ago=4903",
             ],
         },
         Case {
-            name: "a line that was cut",
+            name: "a truncated line",
             arguments: &["begun"],
             code: 1,
-            says: &["no line of these files tells of request begun"],
+            expected: &["no line of these files tells of request begun"],
         },
         Case {
-            name: "an id that is in none",
+            name: "an id that is in no file",
             arguments: &["nobody"],
             code: 1,
-            says: &["no line of these files tells of request nobody"],
+            expected: &["no line of these files tells of request nobody"],
         },
     ];
     for case in cases {
@@ -113,33 +115,37 @@
             .args(files.iter().map(|file| &file.0))
             .output()
             .expect("the tool starts");
-        let said = [output.stdout, output.stderr].concat();
-        let said = String::from_utf8_lossy(&said);
+        let printed = [output.stdout, output.stderr].concat();
+        let printed = String::from_utf8_lossy(&printed);
         assert_eq!(
             output.status.code(),
             Some(case.code),
-            "{}: {said}",
+            "{}: {printed}",
             case.name
         );
-        for text in case.says {
-            assert!(said.contains(text), "{}: {text:?} not in {said}", case.name);
+        for text in case.expected {
+            assert!(
+                printed.contains(text),
+                "{}: {text:?} not in {printed}",
+                case.name
+            );
         }
     }
 }
 
 #[test]
-fn wrong_calls_say_what_is_missing() {
+fn invalid_arguments_are_reported() {
     let cases = [
         (&["explain", "x"][..], 2, "a log file is missing"),
         (&["explain", "x", "/nonexistent/log"], 2, "/nonexistent/log"),
     ];
-    for (arguments, code, says) in cases {
+    for (arguments, code, expected) in cases {
         let output = Command::new(env!("CARGO_BIN_EXE_cypressvane"))
             .args(arguments)
             .output()
             .expect("the tool starts");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {said}");
-        assert!(said.contains(says), "{arguments:?}: {said}");
+        let printed = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {printed}");
+        assert!(printed.contains(expected), "{arguments:?}: {printed}");
     }
 }
--- a/cypressvane_ctl/tests/profile.rs
+++ b/cypressvane_ctl/tests/profile.rs
@@ -1,4 +1,4 @@
-//! Where the time of answered requests went, by log files.
+//! Tests `cypressvane profile`: the durations of answered requests from log files.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -13,18 +13,18 @@
 "#;
 
 #[test]
-fn each_part_of_the_way_has_its_time() {
+fn each_part_of_a_request_has_its_durations() {
     let path = |name: &str| env::temp_dir().join(format!("profile-{}-{name}", std::process::id()));
     let (log, plot): (PathBuf, PathBuf) = (path("log"), path("plot.svg"));
     fs::write(&log, LOG).expect("a temporary file");
     let tool = || Command::new(env!("CARGO_BIN_EXE_cypressvane"));
-    let done = tool()
+    let output = tool()
         .args(["profile", "--plot"])
         .args([&plot, &log])
         .output()
         .expect("the tool runs");
-    let text = String::from_utf8_lossy(&done.stdout);
-    assert!(done.status.success(), "{done:?}");
+    let text = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success(), "{output:?}");
     struct Case {
         part: &'static str,
         numbers: [&'static str; 4],
@@ -59,10 +59,10 @@
         let numbers: Vec<&str> = rest.split_whitespace().collect();
         assert_eq!(numbers, case.numbers, "{text}");
     }
-    let picture = fs::read_to_string(&plot).expect("the picture");
-    assert!(picture.contains("desk") && picture.contains("connecting"));
+    let chart = fs::read_to_string(&plot).expect("the chart");
+    assert!(chart.contains("desk") && chart.contains("connecting"));
     let empty = tool().arg("profile").output().expect("the tool runs");
     assert_eq!(empty.status.code(), Some(2));
-    // Files that stay do no harm.
+    // Leftover temporary files do no harm.
     let _ = (fs::remove_file(&log), fs::remove_file(&plot));
 }
