--- a/cypressvaned/tests/bad_input.rs
+++ b/cypressvaned/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Whatever callers send, each gets a clear answer, no engine sees it, and the host lives on.
+//! Tests that invalid input from callers gets an error answer, reaches no engine and does not stop the host.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,17 +11,17 @@
 
 mod common;
 
-/// Short time-outs and limits, so that the test need not wait long.
+/// Short timeouts and a small body limit keep the test short.
 const SETTINGS: &str = "[timeouts]\nhead_ms = 300\nbody_ms = 300\n[limits]\nbody_bytes = 1000\n";
-/// Longest time that an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for reading an answer.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Case {
     name: &'static str,
     request: String,
     status: u16,
     code: Code,
-    /// A header that must stand in the answer.
+    /// A header that the answer must contain.
     header: Option<&'static str>,
 }
 
@@ -218,11 +218,11 @@
     ]
 }
 
-/// Sends bytes and reads the answer to its end.
+/// Sends a request and reads the whole answer.
 fn exchange(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    // The host may have answered and closed before all was written, which is no failure here.
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
+    // The host may answer and close before the whole request is written, which is not an error here.
     let _ = stream.write_all(request.as_bytes());
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
--- a/cypressvaned/tests/common/mod.rs
+++ b/cypressvaned/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the integration tests share.
+//! Helpers shared by the integration tests.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::future::Future;
 use std::io;
@@ -21,14 +21,14 @@
 /// The key of the account `tagger`, whose tier is `cheap`.
 pub const CHEAP_KEY: &str = "tagger-key";
 
-/// A way in which a completion is answered.
+/// A form in which a completion is answered.
 #[derive(Clone, Copy, Debug)]
 pub struct Completion {
     pub name: &'static str,
     pub stream: bool,
 }
 
-/// Both of them.
+/// All forms of completions.
 pub const COMPLETIONS: [Completion; 2] = [
     Completion {
         name: "whole",
@@ -89,15 +89,15 @@
 /// Runs a test on worker threads.
 ///
 /// # Panics
-/// When the test gives an error.
+/// If the test returns an error.
 pub fn run(test: impl Future<Output = io::Result<()>>) {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| runtime::start(2));
-    smol::block_on(test).expect("the test has what it needs");
+    smol::block_on(test).expect("the test returns no error");
 }
 
-/// Calls a plain service, which echoes what it was asked.
-pub async fn plain(address: SocketAddr, service: &str, path: &str) -> io::Result<plain::Echo> {
+/// Calls a plain service, which echoes the request.
+pub async fn call_plain(address: SocketAddr, service: &str, path: &str) -> io::Result<plain::Echo> {
     let path = format!("/services/{service}{path}");
     let mut request = client::request(Method::Post, address, &path);
     request.insert_header(AUTHORIZATION, format!("Bearer {URGENT_KEY}"));
@@ -107,8 +107,8 @@
     serde_json::from_slice(&reply.body).map_err(io::Error::other)
 }
 
-/// Gives an operator's order without a body.
-pub async fn order(address: SocketAddr, path: &str) -> io::Result<()> {
+/// Posts an operator's order without a body.
+pub async fn post_order(address: SocketAddr, path: &str) -> io::Result<()> {
     let mut request = client::request(Method::Post, address, path);
     request.insert_header(AUTHORIZATION, format!("Bearer {OPERATOR_KEY}"));
     let reply = client::call(address, request, 1 << 20, Duration::from_secs(30)).await;
--- a/cypressvaned/tests/engine_orders.rs
+++ b/cypressvaned/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers that check numbers and to ones that ignore them.
+//! Tests operators' orders to backend servers that check order numbers (fencing) and to ones that ignore them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 mod common;
 
-/// The backend server that is ordered about.
+/// The backend server that receives the orders.
 const SERVER: &str = "register-model-0";
 
 fn role(name: &str) -> Order {
@@ -26,7 +26,7 @@
     }
 }
 
-async fn order(operators: SocketAddr, order: Order) -> io::Result<(u16, Vec<u8>)> {
+async fn submit_order(operators: SocketAddr, order: Order) -> io::Result<(u16, Vec<u8>)> {
     let path = format!("/v1/orders?server={SERVER}");
     let mut request = client::request(Method::Post, operators, &path);
     request.insert_header(AUTHORIZATION, format!("Bearer {OPERATOR_KEY}"));
@@ -36,8 +36,8 @@
     Ok((reply.status(), reply.body))
 }
 
-/// Two hosts and an engine behind a proxy.
-async fn fleet_of(fencing: bool) -> io::Result<(Fleet, proxy::Handle)> {
+/// Starts two hosts and an engine behind a proxy.
+async fn start_fleet(fencing: bool) -> io::Result<(Fleet, proxy::Handle)> {
     let mut fleet = Fleet::spawn()?;
     let settings = engine::Settings {
         fencing,
@@ -58,8 +58,8 @@
     get(fleet.backends[0].address("address"), "/orders").await
 }
 
-/// Checks that the numbers in an engine's ledger never fall, and gives the last.
-async fn rising_numbers(fleet: &Fleet) -> io::Result<u64> {
+/// Checks that the order numbers in the engine's ledger never decrease, and returns the last one.
+async fn last_number(fleet: &Fleet) -> io::Result<u64> {
     let ledger = fleet.ledger(0).await?;
     let numbers: Vec<u64> = ledger.orders.iter().map(|order| order.number).collect();
     assert!(numbers.is_sorted(), "{numbers:?}");
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn an_order_is_numbered_carried_out_and_seen() {
+fn an_order_is_numbered_carried_out_and_reported() {
     common::run(async {
         for fencing in [true, false] {
-            let (fleet, _proxy) = fleet_of(fencing).await?;
+            let (fleet, _proxy) = start_fleet(fencing).await?;
             let load = |name: &str| Order::Load {
                 kind: Kind::Adapter,
                 name: name.to_owned(),
@@ -81,7 +81,7 @@
             };
             for (number, step) in (1..).zip([load("alpine"), load("coast"), unload, role("decode")])
             {
-                let (status, body) = order(fleet.operators(0), step).await?;
+                let (status, body) = submit_order(fleet.operators(0), step).await?;
                 assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
                 let entry: Entry = serde_json::from_slice(&body)?;
                 assert_eq!((entry.newest.number, entry.stage), (number, Stage::Done));
@@ -89,22 +89,22 @@
             let report = report(&fleet).await?;
             assert!(report.shows(&load("coast")) && !report.shows(&load("alpine")));
             assert!(report.shows(&role("decode")));
-            assert_eq!(rising_numbers(&fleet).await?, 4);
+            assert_eq!(last_number(&fleet).await?, 4);
         }
         Ok(())
     });
 }
 
 #[test]
-fn of_two_operators_at_once_the_last_number_stands() {
+fn of_two_concurrent_orders_the_last_number_takes_effect() {
     common::run(async {
         for fencing in [true, false] {
-            let (fleet, _proxy) = fleet_of(fencing).await?;
+            let (fleet, _proxy) = start_fleet(fencing).await?;
             let mut last = None;
             for round in 0..10 {
                 let tasks = [0, 1].map(|host| {
                     let role = role(&format!("role-{round}-{host}"));
-                    spawn(order(fleet.operators(host), role))
+                    spawn(submit_order(fleet.operators(host), role))
                 });
                 for task in tasks {
                     let (status, body) = task.await?;
@@ -122,22 +122,22 @@
                     }
                 }
             }
-            let last = last.expect("somebody wins");
+            let last = last.expect("an order succeeds");
             assert!(
                 report(&fleet).await?.shows(&last.newest.order),
                 "fencing {fencing}"
             );
-            assert_eq!(rising_numbers(&fleet).await?, last.newest.number);
+            assert_eq!(last_number(&fleet).await?, last.newest.number);
         }
         Ok(())
     });
 }
 
 #[test]
-fn lost_answers_of_table_and_server_are_looked_up() {
+fn an_order_with_lost_answers_of_table_and_server_is_sent_once() {
     common::run(async {
         for fencing in [true, false] {
-            let (fleet, proxy) = fleet_of(fencing).await?;
+            let (fleet, proxy) = start_fleet(fencing).await?;
             let lost = platform::Fault {
                 lose_write_answers: 2,
                 ..Default::default()
@@ -147,9 +147,9 @@
                 back: Way::CutAfter(0),
                 ..Fault::default()
             });
-            let ordered = spawn(order(fleet.operators(0), role("decode")));
+            let ordered = spawn(submit_order(fleet.operators(0), role("decode")));
             fleet
-                .until("the order came", async || {
+                .until("the order arrives", async || {
                     fleet
                         .ledger(0)
                         .await
@@ -159,43 +159,47 @@
             proxy.set(Fault::default());
             let (status, body) = ordered.await?;
             assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
-            assert_eq!(fleet.ledger(0).await?.orders.len(), 1, "it is sent once");
+            assert_eq!(
+                fleet.ledger(0).await?.orders.len(),
+                1,
+                "the order is sent once"
+            );
         }
         Ok(())
     });
 }
 
 #[test]
-fn a_paused_issuers_late_order_does_not_stand() {
+fn a_late_order_of_a_frozen_host_takes_no_effect() {
     common::run(async {
         for fencing in [true, false] {
-            let (fleet, proxy) = fleet_of(fencing).await?;
+            let (fleet, proxy) = start_fleet(fencing).await?;
             proxy.set(Fault {
                 forth: Way::Freeze,
                 ..Fault::default()
             });
             let before = proxy.connections();
-            let late = spawn(order(fleet.operators(0), role("prefill")));
+            let late = spawn(submit_order(fleet.operators(0), role("prefill")));
             fleet
-                .until("the order is on its way", async || {
+                .until("the order is in flight", async || {
                     proxy.connections() > before
                 })
                 .await?;
             fleet.host(0).freeze();
-            // Until the issuer counts as silent, nobody else may order.
-            let (status, _) = order(fleet.operators(1), role("decode")).await?;
+            // Until the issuer counts as silent, no other host may issue orders.
+            let (status, _) = submit_order(fleet.operators(1), role("decode")).await?;
             assert_eq!(status, 409, "fencing {fencing}");
             let newer = spawn(async move {
                 let operators = fleet.operators(1);
                 loop {
-                    let (status, body) = order(operators, role("decode")).await?;
+                    let (status, body) = submit_order(operators, role("decode")).await?;
                     if status != 409 {
                         return io::Result::Ok((fleet, status, body));
                     }
                     Timer::after(Duration::from_millis(200)).await;
                 }
             });
-            // Both orders wait in the proxy, and reach the engine together.
+            // Both orders wait in the proxy and reach the engine together.
             let begun = cypressvane::clock::Instant::now();
             while proxy.connections() < before + 2 && begun.elapsed() < Duration::from_secs(60) {
                 Timer::after(Duration::from_millis(20)).await;
@@ -210,7 +214,10 @@
             );
             fleet.host(0).resume();
             let (status, _) = late.await?;
-            assert_eq!(status, 409, "fencing {fencing}: the late issuer is told");
+            assert_eq!(
+                status, 409,
+                "fencing {fencing}: the late issuer gets a conflict"
+            );
             assert!(
                 report(&fleet).await?.shows(&role("decode")),
                 "fencing {fencing}"
--- a/cypressvaned/tests/framing.rs
+++ b/cypressvaned/tests/framing.rs
@@ -1,5 +1,5 @@
-//! A head that can be read in two ways is refused on every listener of the product's own interface,
-//! and nothing behind it is taken for another request.
+//! Guards against request smuggling: an ambiguous head is refused on every listener of the product's own
+//! interface, and the bytes after it are not read as another request.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -10,14 +10,14 @@
 
 mod common;
 
-/// Longest time that an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// A request that a reader of the shorter length would see behind the body.
+/// Timeout for reading an answer.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// A request after the body, which a parser that uses the shorter length would accept.
 const SMUGGLED: &str = "GET /v1/models HTTP/1.1\r\nHost: h\r\n\r\n";
 
 struct Case {
     name: &'static str,
-    /// Header lines, each with its end.
+    /// Header lines, each with its line ending.
     lines: &'static str,
     body: &'static str,
 }
@@ -105,21 +105,21 @@
     },
 ];
 
-/// Sends bytes and reads to the end of the connection.
+/// Sends a request and reads to the end of the connection.
 fn exchange(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    // The host may have answered and closed before all was written, which is no failure here.
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
+    // The host may answer and close before the whole request is written, which is not an error here.
     let _ = stream.write_all(request.as_bytes());
     let _ = stream.shutdown(Shutdown::Write);
     let mut answer = Vec::new();
-    // A reset after the answer says as much as an end.
+    // A reset after the answer counts as the end of the connection.
     let _ = stream.read_to_end(&mut answer);
     Ok(String::from_utf8_lossy(&answer).into_owned())
 }
 
 #[test]
-fn a_head_that_can_be_read_in_two_ways_is_refused_on_every_listener() {
+fn an_ambiguous_head_is_refused_on_every_listener() {
     common::run(async {
         let mut fleet = Fleet::spawn()?;
         let engine = fleet
@@ -143,7 +143,7 @@
                 let answer = smol::unblock(move || exchange(address, &text)).await?;
                 assert!(answer.starts_with("HTTP/1.1 400 "), "{name}: {answer}");
                 assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{name}: {answer}");
-                // Not for what the body holds, which nobody may have read.
+                // The refusal must be for the head, not for the contents of the body, which must not be read.
                 assert!(answer.contains("head of the request"), "{name}: {answer}");
             }
         }
--- a/cypressvaned/tests/hangup.rs
+++ b/cypressvaned/tests/hangup.rs
@@ -1,4 +1,4 @@
-//! A caller that hangs up is taken off the queue, or has its engine's work cancelled.
+//! Tests that a request whose caller disconnects leaves the queue, or is cancelled at its engine.
 
 use cypressvane::client;
 use cypressvane::runtime::spawn;
@@ -12,12 +12,12 @@
     name: &'static str,
     slots: u32,
     stream: bool,
-    /// Whether the caller's request has reached the engine when it hangs up.
+    /// Whether the request has reached the engine when its caller disconnects.
     running: bool,
 }
 
 #[test]
-fn a_caller_that_hangs_up_leaves_nothing_behind() {
+fn a_request_of_a_disconnected_caller_is_removed_or_cancelled() {
     let cases = [
         Case {
             name: "waiting",
@@ -79,7 +79,7 @@
             }
             second.cancel().await;
             fleet
-                .until("the second is let go", async || held(1).await)
+                .until("the second is released", async || held(1).await)
                 .await?;
             if case.running {
                 fleet
--- a/cypressvaned/tests/leaving.rs
+++ b/cypressvaned/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A host that is told to leave cuts no request and ends with success.
+//! Tests that a host that is ordered to drain cuts no request and exits with status 0.
 
 use std::io;
 use std::time::Duration;
@@ -10,49 +10,49 @@
 
 mod common;
 
-/// Longest time that a process may take to end.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Requests under way when the host is told.
+/// Longest time that a process may take to exit.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Requests that the host holds when the drain starts.
 const REQUESTS: usize = 24;
 
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum Trigger {
     Signal,
     Order,
 }
 
 struct Case {
     name: &'static str,
-    told: Told,
-    /// Engine slots: fewer than requests, so that some wait when the host is told.
+    trigger: Trigger,
+    /// Slots of the engine; with fewer slots than requests, some wait when the drain starts.
     batch: usize,
 }
 
 #[test]
-fn leaving_cuts_no_request() {
+fn draining_cuts_no_request() {
     let cases = [
         Case {
             name: "SIGTERM with long streams",
-            told: Told::Signal,
+            trigger: Trigger::Signal,
             batch: 32,
         },
         Case {
             name: "SIGTERM with requests waiting",
-            told: Told::Signal,
+            trigger: Trigger::Signal,
             batch: 4,
         },
         Case {
             name: "an operator's order",
-            told: Told::Order,
+            trigger: Trigger::Order,
             batch: 32,
         },
     ];
     for case in cases {
-        common::run(leave(case));
+        common::run(run_case(case));
     }
 }
 
-async fn leave(case: Case) -> io::Result<()> {
+async fn run_case(case: Case) -> io::Result<()> {
     let name = case.name;
     let mut fleet = Fleet::spawn()?;
     let settings = engine::Settings {
@@ -84,15 +84,15 @@
                 .is_ok_and(|dump| dump.held == REQUESTS as u64)
         })
         .await?;
-    match case.told {
-        Told::Signal => fleet.host(0).terminate(),
-        Told::Order => {
+    match case.trigger {
+        Trigger::Signal => fleet.host(0).terminate(),
+        Trigger::Order => {
             let entry = fleet
                 .entries
                 .iter()
                 .find(|entry| *entry.name == *host_name(0));
             let operators = entry.and_then(|entry| entry.operators);
-            common::order(operators.expect("the host has a listener"), "/v1/drain").await?;
+            common::post_order(operators.expect("the host has a listener"), "/v1/drain").await?;
         }
     }
     for request in running {
@@ -102,7 +102,7 @@
         assert_eq!(answer.text, request.expected(), "{name}");
     }
     let process = fleet.hosts[0].as_mut().expect("the host was started");
-    let status = process.wait(PATIENCE).expect("the host ends");
+    let status = process.wait(EXIT_TIMEOUT).expect("the host exits");
     assert_eq!(status.code(), Some(0), "{name}");
     Ok(())
 }
--- a/cypressvaned/tests/promises/configuration.rs
+++ b/cypressvaned/tests/promises/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Tests that an accepted configuration is in force on every host within seconds and never reverts.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,12 +16,12 @@
 
 use crate::common;
 
-/// Hosts of the fleet.
+/// Number of hosts.
 const HOSTS: usize = 3;
-/// Operators that submit at the same moment.
+/// Number of operators that submit concurrently.
 const OPERATORS: usize = 20;
 
-/// A configuration that differs by a number.
+/// Returns a configuration that differs from others by `number`.
 fn numbered(number: usize) -> String {
     common::CONFIGURATION.replace(
         "first_token_ms = 460",
@@ -29,7 +29,7 @@
     )
 }
 
-/// Submits without waiting for the hosts: status and body.
+/// Submits a configuration without waiting for the hosts, and returns the status and body of the answer.
 async fn submit(address: SocketAddr, text: String) -> io::Result<(u16, Vec<u8>)> {
     let mut request = client::request(Method::Post, address, "/v1/config");
     request.insert_header(AUTHORIZATION, format!("Bearer {OPERATOR_KEY}"));
@@ -39,7 +39,7 @@
     Ok((reply.status(), reply.body))
 }
 
-async fn fleet_of() -> io::Result<Fleet> {
+async fn start_fleet() -> io::Result<Fleet> {
     let mut fleet = Fleet::spawn()?;
     for _ in 0..HOSTS {
         fleet.add_host("").await?;
@@ -49,15 +49,15 @@
     Ok(fleet)
 }
 
-/// The digest that a host has in force.
+/// Returns the digest of the configuration in force on a host.
 async fn digest(fleet: &Fleet, index: usize) -> io::Result<String> {
     Ok(fleet.state(index).await?.digest)
 }
 
 #[test]
-fn of_racing_operators_each_version_has_one_winner_and_all_hosts_agree() {
+fn concurrent_submissions_have_one_winner_per_version_and_all_hosts_agree() {
     common::run(async {
-        let fleet = fleet_of().await?;
+        let fleet = start_fleet().await?;
         for (name, fault) in [
             ("table up", Fault::default()),
             (
@@ -88,11 +88,11 @@
             accepted.sort_by_key(|record| record.version);
             accepted.dedup_by_key(|record| record.version);
             let versions: Vec<u64> = accepted.iter().map(|record| record.version).collect();
-            let last = *versions.last().expect("somebody wins");
+            let last = *versions.last().expect("a submission is accepted");
             let expected: Vec<u64> = (before + 1..=last).collect();
-            assert_eq!(versions, expected, "{name}: one winner each");
+            assert_eq!(versions, expected, "{name}: one winner per version");
             fleet.in_force(last).await?;
-            let manifest = &accepted.last().expect("somebody wins").manifest;
+            let manifest = &accepted.last().expect("a submission is accepted").manifest;
             for index in 0..HOSTS {
                 assert_eq!(digest(&fleet, index).await?, *manifest, "{name}");
             }
@@ -102,10 +102,10 @@
 }
 
 #[test]
-fn a_table_that_goes_down_right_after_acceptance_changes_nothing() {
+fn a_table_outage_right_after_acceptance_does_not_revert_the_configuration() {
     common::run(async {
         for trouble in [Trouble::Fails, Trouble::Hangs] {
-            let mut fleet = fleet_of().await?;
+            let mut fleet = start_fleet().await?;
             let (status, _) = submit(fleet.operators(0), numbered(7)).await?;
             assert_eq!(status, 200);
             fleet
@@ -115,7 +115,7 @@
                 })
                 .await?;
             fleet.in_force(2).await?;
-            // A host that starts during the outage learns from the others.
+            // A host that starts during the outage fetches the configuration from its peers.
             let index = fleet.add_host("").await?;
             fleet.in_force(2).await?;
             assert_eq!(
@@ -134,9 +134,9 @@
 }
 
 #[test]
-fn stale_reads_and_restarts_never_bring_an_old_version_back() {
+fn stale_reads_and_restarts_never_restore_an_old_version() {
     common::run(async {
-        let mut fleet = fleet_of().await?;
+        let mut fleet = start_fleet().await?;
         let keep = Fault {
             keep_copy: true,
             ..Fault::default()
@@ -146,7 +146,7 @@
         fleet.submit(0, &numbered(2)).await?;
         fleet.submit(1, &numbered(3)).await?;
         let newest = digest(&fleet, 0).await?;
-        // From here on the table shows what it had at version 1, to a host that starts too.
+        // From here on the table returns its state at version 1, also to a host that starts.
         let stale = Fault {
             stale_reads: true,
             ..Fault::default()
@@ -194,7 +194,7 @@
         }
         fleet
             .until(
-                "the host that is cut off learns from its peer",
+                "the host without the table fetches from its peer",
                 async || fleet.state(cut).await.is_ok_and(|state| state.version == 4),
             )
             .await?;
@@ -204,10 +204,10 @@
 }
 
 #[test]
-fn a_host_that_starts_takes_a_large_configuration_from_the_others() {
+fn a_starting_host_fetches_a_large_configuration_from_its_peers() {
     common::run(async {
         let mut fleet = Fleet::spawn()?;
-        // Polls are rare, so that nearly all reads are those of the host that starts.
+        // A long poll interval, so that nearly all reads come from the starting host.
         fleet.poll_ms = 5_000;
         fleet.add_host("").await?;
         let mut large = numbered(0);
@@ -219,7 +219,8 @@
         }
         fleet.submit(0, &large).await?;
         let before = fleet.stats().await?.reads;
-        // How long a host asks the others first depends on its name; this one is patient.
+        // The time for which a starting host asks its peers before it reads the table depends on its
+        // name; for this host it is long.
         fleet.hosts.resize_with(4, || None);
         let started = fleet.add_host("").await?;
         fleet.in_force(1).await?;
--- a/cypressvaned/tests/promises/dispatch.rs
+++ b/cypressvaned/tests/promises/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request is dispatched at most once.
+//! Tests that a request is dispatched at most once.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,9 +13,9 @@
 use crate::evidence::{check, gather, ran, seen, send, whole};
 use cypressvane::refusal::Ran;
 
-/// Short silence, so that the test need not wait long.
+/// A short silence timeout keeps the test short.
 const SETTINGS: &str = "[timeouts]\nsilence_ms = 1500\n";
-/// Requests of a case.
+/// Number of requests per case.
 const REQUESTS: usize = 12;
 
 struct Case {
@@ -23,18 +23,18 @@
     fault: Fault,
     silent: bool,
     stream: bool,
-    /// Whether requests may still be answered whole.
+    /// Whether all requests are answered whole.
     answers: bool,
 }
 
-fn cut_forth(bytes: u64) -> Fault {
+fn cut_request(bytes: u64) -> Fault {
     Fault {
         forth: Way::CutAfter(bytes),
         ..Fault::default()
     }
 }
 
-fn cut_back(bytes: u64) -> Fault {
+fn cut_answer(bytes: u64) -> Fault {
     Fault {
         back: Way::CutAfter(bytes),
         ..Fault::default()
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_cut_or_silent_connection_is_never_tried_again() {
+fn a_request_on_a_cut_or_silent_connection_is_never_retried() {
     let case = |name, fault, stream| Case {
         name,
         fault,
@@ -64,15 +64,15 @@
             },
             false,
         ),
-        case("cut before the first byte", cut_forth(0), false),
-        case("cut in the head", cut_forth(40), false),
-        case("cut in the body", cut_forth(200), false),
-        case("cut before the answer", cut_back(0), false),
-        case("cut in the head of the answer", cut_back(30), false),
-        case("cut in the body of the answer", cut_back(250), false),
-        case("cut in the stream", cut_back(600), true),
+        case("cut before the first byte", cut_request(0), false),
+        case("cut in the head", cut_request(40), false),
+        case("cut in the body", cut_request(200), false),
+        case("cut before the answer", cut_answer(0), false),
+        case("cut in the head of the answer", cut_answer(30), false),
+        case("cut in the body of the answer", cut_answer(250), false),
+        case("cut in the stream", cut_answer(600), true),
         case(
-            "frozen on the way",
+            "request frozen",
             Fault {
                 forth: Way::Freeze,
                 ..Fault::default()
@@ -80,7 +80,7 @@
             false,
         ),
         case(
-            "frozen on the way back",
+            "answer frozen",
             Fault {
                 back: Way::Freeze,
                 ..Fault::default()
@@ -111,7 +111,7 @@
     let mut engines = Vec::new();
     for _ in 0..2 {
         let engine = fleet.add_engine("register-model", &settings).await?;
-        proxies.push(before_backend(&mut fleet, engine)?);
+        proxies.push(proxy_backend(&mut fleet, engine)?);
         engines.push(engine);
     }
     fleet.publish().await?;
@@ -128,25 +128,25 @@
         let ask = if case.stream { ask.streamed(12) } else { ask };
         tasks.push(send(fleet.callers(0), ask));
     }
-    let told = gather(tasks).await;
-    // What is held on its way arrives now, so that the ledgers are complete.
+    let outcomes = gather(tasks).await;
+    // Frozen bytes are delivered now, so that the ledgers are complete.
     for proxy in &proxies {
         proxy.set(Fault::default());
     }
     smol::Timer::after(Duration::from_millis(200)).await;
-    check(name, &told, &seen(&fleet, &engines).await?);
-    assert_eq!(whole(&told) == REQUESTS, case.answers, "{name}");
+    check(name, &outcomes, &seen(&fleet, &engines).await?);
+    assert_eq!(whole(&outcomes) == REQUESTS, case.answers, "{name}");
     if !case.answers {
         assert!(
-            ran(&told, Ran::Unknown) > 0,
-            "{name}: what was sent is unknown"
+            ran(&outcomes, Ran::Unknown) > 0,
+            "{name}: some errors report an unknown outcome"
         );
     }
     Ok(())
 }
 
-/// Puts a proxy before a backend server; the host list must be published afterwards.
-pub fn before_backend(fleet: &mut Fleet, backend: usize) -> io::Result<proxy::Handle> {
+/// Puts a proxy in front of a backend server. The caller must publish the host list afterwards.
+pub fn proxy_backend(fleet: &mut Fleet, backend: usize) -> io::Result<proxy::Handle> {
     let target = fleet.backends[backend].address("address");
     let proxy = proxy::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), target)?;
     let entry = fleet
@@ -176,15 +176,19 @@
             let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
             tasks.push(send(fleet.callers(0), ask));
         }
-        let told = gather(tasks).await;
-        check("an engine is gone", &told, &seen(&fleet, &[engine]).await?);
-        assert_eq!(whole(&told), REQUESTS);
+        let outcomes = gather(tasks).await;
+        check(
+            "an engine is gone",
+            &outcomes,
+            &seen(&fleet, &[engine]).await?,
+        );
+        assert_eq!(whole(&outcomes), REQUESTS);
         Ok(())
     });
 }
 
 #[test]
-fn a_frozen_and_resumed_host_dispatches_nothing_again() {
+fn a_frozen_and_resumed_host_dispatches_nothing_twice() {
     common::run(async {
         let mut fleet = Fleet::spawn()?;
         let slow = engine::Settings {
@@ -205,15 +209,15 @@
             let ask = Ask::new(common::PATIENT_KEY, "register-model", &prompt).streamed(8);
             tasks.push(send(fleet.callers(index % 3), ask));
         }
-        // Each host in turn is away for longer than the others wait before they go on without it.
+        // Each host in turn is frozen for longer than the others wait before they continue without it.
         for index in 0..3 {
             fleet.host(index).freeze();
             smol::Timer::after(Duration::from_millis(2500)).await;
             fleet.host(index).resume();
         }
-        let told = gather(tasks).await;
-        check("frozen hosts", &told, &seen(&fleet, &[engine]).await?);
-        assert_eq!(whole(&told), 30, "a frozen host loses nothing");
+        let outcomes = gather(tasks).await;
+        check("frozen hosts", &outcomes, &seen(&fleet, &[engine]).await?);
+        assert_eq!(whole(&outcomes), 30, "a frozen host loses nothing");
         Ok(())
     });
 }
--- a/cypressvaned/tests/promises/evidence.rs
+++ b/cypressvaned/tests/promises/evidence.rs
@@ -1,4 +1,4 @@
-//! Checks of the callers' ledger against the engines'.
+//! Checks the answers that callers received against the engines' ledgers.
 
 use cypressvane_standin::audit::violations;
 pub use cypressvane_standin::audit::{Seen, Told, gather, ran, seen, send, whole};
@@ -6,23 +6,26 @@
 /// Checks every answer against the engines' ledgers.
 ///
 /// # Panics
-/// When a request or key reached engines twice, a refusal that says "not run" is untrue, an answer
-/// that ended whole is not the caller's own, or an answer is neither whole nor gives a reason.
-pub fn check(name: &str, told: &[Told], seen: &Seen) {
-    check_ledgers(name, told, seen);
-    for answer in told.iter().filter_map(|told| told.result.as_ref().ok()) {
+/// If a request or key reached engines twice, a refusal that says "not run" is untrue, a whole
+/// answer is not the caller's own, or an answer is neither whole nor an error.
+pub fn check(name: &str, outcomes: &[Told], seen: &Seen) {
+    check_ledgers(name, outcomes, seen);
+    for answer in outcomes
+        .iter()
+        .filter_map(|outcome| outcome.result.as_ref().ok())
+    {
         assert!(
             answer.whole || answer.error.is_some(),
-            "{name}: neither answer nor reason"
+            "{name}: neither a whole answer nor an error"
         );
     }
 }
 
-/// The same where the callers' host may have died, so that nobody was left to give a reason.
+/// Like `check`, but accepts incomplete answers without an error, since a killed host cannot send one.
 ///
 /// # Panics
-/// As `check`, but for answers that broke off without a reason.
-pub fn check_ledgers(name: &str, told: &[Told], seen: &Seen) {
-    let found = violations(told, seen);
+/// As `check`, except for incomplete answers without an error.
+pub fn check_ledgers(name: &str, outcomes: &[Told], seen: &Seen) {
+    let found = violations(outcomes, seen);
     assert!(found.is_empty(), "{name}: {found:?}");
 }
--- a/cypressvaned/tests/promises/idempotency.rs
+++ b/cypressvaned/tests/promises/idempotency.rs
@@ -1,4 +1,4 @@
-//! A request with an idempotency key runs at most once, whatever host it is sent to.
+//! Tests that a request with an idempotency key runs at most once, whichever hosts it is sent to.
 
 use std::io;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::common;
 use crate::evidence::{Told, check, check_ledgers, gather, ran, seen, send, whole};
 
-/// Hosts to which a key is sent.
+/// Number of hosts to which each key is sent.
 const HOSTS: usize = 3;
 
 fn keyed(key: &str) -> Ask {
     Ask::new(common::URGENT_KEY, "register-model", "permit").with("idempotency-key", key)
 }
 
-async fn fleet_of(settings: &engine::Settings) -> io::Result<(Fleet, Vec<usize>)> {
+async fn start_fleet(settings: &engine::Settings) -> io::Result<(Fleet, Vec<usize>)> {
     let mut fleet = Fleet::spawn()?;
     let mut engines = Vec::new();
     for _ in 0..2 {
@@ -33,7 +33,7 @@
     Ok((fleet, engines))
 }
 
-/// Sends the same keys to all hosts at the same moment.
+/// Sends the same keys to all hosts concurrently.
 fn race(fleet: &Fleet, keys: usize, name: &str) -> Vec<smol::Task<Told>> {
     let mut tasks = Vec::new();
     for key in 0..keys {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_key_runs_at_most_once_whatever_the_table_does() {
+fn a_key_runs_at_most_once_under_table_faults() {
     let cases = [
         Case {
             name: "table up",
@@ -94,25 +94,33 @@
         },
     ];
     common::run(async {
-        let (fleet, engines) = fleet_of(&engine::Settings::default()).await?;
+        let (fleet, engines) = start_fleet(&engine::Settings::default()).await?;
         for case in cases {
             let name = case.name;
             fleet.set_fault(&case.fault).await?;
-            let told = gather(race(&fleet, 10, &name.replace(' ', "-"))).await;
-            check(name, &told, &seen(&fleet, &engines).await?);
+            let outcomes = gather(race(&fleet, 10, &name.replace(' ', "-"))).await;
+            check(name, &outcomes, &seen(&fleet, &engines).await?);
             if case.runs {
-                assert_eq!(whole(&told), 10, "{name}: one of each race runs");
-                assert_eq!(ran(&told, Ran::Unknown), 20, "{name}: the others are told");
+                assert_eq!(whole(&outcomes), 10, "{name}: one request per key runs");
+                assert_eq!(
+                    ran(&outcomes, Ran::Unknown),
+                    20,
+                    "{name}: the outcome of the others is unknown"
+                );
             } else {
-                assert_eq!(ran(&told, Ran::No), 30, "{name}: none runs on hope");
+                assert_eq!(
+                    ran(&outcomes, Ran::No),
+                    30,
+                    "{name}: none runs without a claim"
+                );
             }
             fleet.set_fault(&Fault::default()).await?;
         }
-        // What ran once does not run again later, at any host.
-        let told = gather(race(&fleet, 10, "table-up")).await;
-        check("asked again", &told, &seen(&fleet, &engines).await?);
-        for told in &told {
-            let answer = told
+        // A key that ran once does not run again later on any host.
+        let outcomes = gather(race(&fleet, 10, "table-up")).await;
+        check("keys sent again", &outcomes, &seen(&fleet, &engines).await?);
+        for outcome in &outcomes {
+            let answer = outcome
                 .result
                 .as_ref()
                 .map_err(|error| io::Error::other(error.clone()))?;
@@ -124,18 +132,18 @@
 }
 
 #[test]
-fn a_key_whose_host_died_does_not_run_again() {
+fn a_key_whose_host_was_killed_does_not_run_again() {
     common::run(async {
         let slow = engine::Settings {
             decode_ms: 50.0,
             ..Default::default()
         };
-        let (mut fleet, engines) = fleet_of(&slow).await?;
+        let (mut fleet, engines) = start_fleet(&slow).await?;
         let first: Vec<_> = (0..8)
             .map(|key| send(fleet.callers(0), keyed(&format!("died-{key}")).streamed(40)))
             .collect();
         fleet
-            .until("the engines work on them", async || {
+            .until("the engines run the requests", async || {
                 seen(&fleet, &engines)
                     .await
                     .is_ok_and(|seen| seen.keys.len() == 8)
@@ -143,31 +151,31 @@
             .await?;
         fleet.hosts[0].as_mut().expect("started").kill();
         let cut = gather(first).await;
-        assert_eq!(whole(&cut), 0, "their host is gone");
-        let mut told = Vec::new();
+        assert_eq!(whole(&cut), 0, "their host was killed");
+        let mut outcomes = Vec::new();
         for host in [1, 2] {
             for key in 0..8 {
                 let ask = keyed(&format!("died-{key}"));
-                told.extend(gather(vec![send(fleet.callers(host), ask)]).await);
+                outcomes.extend(gather(vec![send(fleet.callers(host), ask)]).await);
             }
         }
         let seen = seen(&fleet, &engines).await?;
         check_ledgers("the host died", &cut, &seen);
-        check("retries", &told, &seen);
+        check("retries", &outcomes, &seen);
         assert_eq!(
-            ran(&told, Ran::Unknown),
+            ran(&outcomes, Ran::Unknown),
             16,
-            "each retry is told that it may have run"
+            "each retry is answered that it may have run"
         );
         Ok(())
     });
 }
 
 #[test]
-fn a_host_frozen_between_claim_and_dispatch_runs_it_once() {
+fn a_key_runs_once_when_its_host_freezes_between_claim_and_dispatch() {
     common::run(async {
-        let (fleet, engines) = fleet_of(&engine::Settings::default()).await?;
-        // The claim is under way while the host stops; its answer waits in the socket.
+        let (fleet, engines) = start_fleet(&engine::Settings::default()).await?;
+        // The claim is in flight when the host freezes; the table's answer waits in the socket.
         fleet
             .set_fault(&Fault {
                 delay_ms: 400,
@@ -183,11 +191,11 @@
         let retries: Vec<_> = (0..5)
             .map(|key| send(fleet.callers(1), keyed(&format!("frozen-{key}"))))
             .collect();
-        let mut told = gather(retries).await;
+        let mut outcomes = gather(retries).await;
         fleet.host(0).resume();
-        told.extend(gather(first).await);
-        check("frozen", &told, &seen(&fleet, &engines).await?);
-        assert_eq!(whole(&told), 5, "each key runs once");
+        outcomes.extend(gather(first).await);
+        check("frozen", &outcomes, &seen(&fleet, &engines).await?);
+        assert_eq!(whole(&outcomes), 5, "each key runs once");
         Ok(())
     });
 }
--- a/cypressvaned/tests/promises/leaving_server.rs
+++ b/cypressvaned/tests/promises/leaving_server.rs
@@ -1,4 +1,4 @@
-//! A backend server that is leaving gets no new work after a few seconds.
+//! Tests that a backend server that is leaving gets no new requests after a few seconds.
 
 use std::io;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::common;
 use crate::evidence::{Told, check, gather, seen, send, whole};
 
-/// Hosts of the fleet.
+/// Number of hosts.
 const HOSTS: usize = 2;
-/// Seconds after which no new work may come.
-const A_FEW_SECONDS: Duration = Duration::from_secs(4);
-/// Longest time that work is watched for.
+/// Time after which the server must get no new requests.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// How long the test watches for new requests after that.
 const WATCH: Duration = Duration::from_secs(3);
 
-async fn fleet_of() -> io::Result<(Fleet, Vec<usize>)> {
+async fn start_fleet() -> io::Result<(Fleet, Vec<usize>)> {
     let mut fleet = Fleet::spawn()?;
     let mut engines = Vec::new();
     for _ in 0..2 {
@@ -38,49 +38,50 @@
     Ok((fleet, engines))
 }
 
-/// Sends requests for a while, some together, so that both engines are wanted.
-async fn work(fleet: &Fleet, time: Duration) -> Vec<Told> {
+/// Sends batches of concurrent requests for `time`, so that both engines are needed.
+async fn send_load(fleet: &Fleet, time: Duration) -> Vec<Told> {
     let begun = Instant::now();
-    let mut told = Vec::new();
+    let mut outcomes = Vec::new();
     while begun.elapsed() < time {
         let tasks = (0..6).map(|index| {
             let prompt = format!("{} number-{index}", "word ".repeat(400));
             let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
             send(fleet.callers(index % HOSTS), ask)
         });
-        told.extend(gather(tasks.collect()).await);
+        outcomes.extend(gather(tasks.collect()).await);
     }
-    told
+    outcomes
 }
 
+/// How hosts can tell that the server is leaving.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Sign {
-    /// The host list says that it is leaving.
-    List,
+enum Notice {
+    /// The host list marks it as leaving.
+    MarkedLeaving,
     /// The host list no longer has it.
-    Gone,
-    /// The list hangs, and the server says itself that it is leaving.
-    Itself,
+    Unlisted,
+    /// The host list gives no answer, and the server announces it in its answers.
+    Announced,
 }
 
 #[test]
-fn a_leaving_server_gets_no_new_work_after_a_few_seconds() {
+fn a_leaving_server_gets_no_new_requests_after_a_few_seconds() {
     common::run(async {
-        for sign in [Sign::List, Sign::Gone, Sign::Itself] {
-            let (mut fleet, engines) = fleet_of().await?;
+        for notice in [Notice::MarkedLeaving, Notice::Unlisted, Notice::Announced] {
+            let (mut fleet, engines) = start_fleet().await?;
             let leaving = engines[0];
-            let before = work(&fleet, Duration::from_millis(300)).await;
-            assert_eq!(whole(&before), before.len(), "{sign:?}");
-            match sign {
-                Sign::List => {
+            let before = send_load(&fleet, Duration::from_millis(300)).await;
+            assert_eq!(whole(&before), before.len(), "{notice:?}");
+            match notice {
+                Notice::MarkedLeaving => {
                     fleet.entries[leaving].presence = Presence::Leaving;
                     fleet.publish().await?;
                 }
-                Sign::Gone => {
+                Notice::Unlisted => {
                     fleet.entries.remove(leaving);
                     fleet.publish().await?;
                 }
-                Sign::Itself => {
+                Notice::Announced => {
                     let fault = Fault {
                         hosts: Trouble::Hangs,
                         ..Fault::default()
@@ -93,13 +94,16 @@
                     fleet.set_engine(leaving, &draining).await?;
                 }
             }
-            let meanwhile = work(&fleet, A_FEW_SECONDS).await;
-            let at_rest = fleet.ledger(leaving).await?.seen.len();
-            let after = work(&fleet, WATCH).await;
-            let told: Vec<Told> = before.into_iter().chain(meanwhile).chain(after).collect();
-            check("leaving", &told, &seen(&fleet, &engines).await?);
+            let meanwhile = send_load(&fleet, SETTLE_TIME).await;
+            let settled = fleet.ledger(leaving).await?.seen.len();
+            let after = send_load(&fleet, WATCH).await;
+            let outcomes: Vec<Told> = before.into_iter().chain(meanwhile).chain(after).collect();
+            check("leaving", &outcomes, &seen(&fleet, &engines).await?);
             let later = fleet.ledger(leaving).await?.seen.len();
-            assert_eq!(later, at_rest, "{sign:?}: new work after a few seconds");
+            assert_eq!(
+                later, settled,
+                "{notice:?}: new requests after a few seconds"
+            );
         }
         Ok(())
     });
--- a/cypressvaned/tests/promises/main.rs
+++ b/cypressvaned/tests/promises/main.rs
@@ -1,4 +1,4 @@
-//! What must always hold, each point under the failures that could break it: one file a promise.
+//! The guarantees of the system, each tested under the failures that could break it; one file per guarantee.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/cypressvaned/tests/promises/not_run.rs
+++ b/cypressvaned/tests/promises/not_run.rs
@@ -1,4 +1,4 @@
-//! A refusal that says "not run" is true, and is given at once with a time to come back.
+//! Tests that a refusal that says "not run" is true and arrives at once, with `Retry-After` where a retry can help.
 
 use std::io;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 use crate::common;
 use crate::evidence::{check, gather, seen, send};
 
-/// A queue of four, so that it is soon full.
+/// A queue of four requests, so that it fills quickly.
 const SETTINGS: &str = "[limits]\nwaiting = 4\n";
-/// A refusal is no answer held back: it comes long before this, even on a busy machine.
-const AT_ONCE: Duration = Duration::from_secs(10);
+/// Longest time to a refusal. Refusals are not delayed and arrive much earlier, even on a busy machine.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Case {
     name: &'static str,
-    /// Added to the configuration.
+    /// Text of the configuration that `to` replaces.
     from: &'static str,
     to: &'static str,
     headers: &'static [(&'static str, &'static str)],
     requests: usize,
     code: Code,
-    comes_back: bool,
+    has_retry_after: bool,
 }
 
 #[test]
@@ -36,7 +36,7 @@
         headers: &[],
         requests: 1,
         code: Code::Overloaded,
-        comes_back: true,
+        has_retry_after: true,
     };
     let cases = [
         Case {
@@ -77,7 +77,7 @@
             headers: &[("cypressvane-deadline-ms", "400")],
             requests: 3,
             code: Code::DeadlinePassed,
-            comes_back: false,
+            has_retry_after: false,
         },
         Case {
             name: "a deadline that cannot be met",
@@ -116,11 +116,11 @@
         }
         tasks.push(send(fleet.callers(0), ask));
     }
-    let told = gather(tasks).await;
-    check(name, &told, &seen(&fleet, &[engine]).await?);
-    let refused: Vec<&Answer> = told
+    let outcomes = gather(tasks).await;
+    check(name, &outcomes, &seen(&fleet, &[engine]).await?);
+    let refused: Vec<&Answer> = outcomes
         .iter()
-        .filter_map(|told| told.result.as_ref().ok())
+        .filter_map(|outcome| outcome.result.as_ref().ok())
         .filter(|answer| {
             answer
                 .error
@@ -128,16 +128,16 @@
                 .is_some_and(|error| error.code == case.code)
         })
         .collect();
-    assert!(!refused.is_empty(), "{name}: {told:?}");
+    assert!(!refused.is_empty(), "{name}: {outcomes:?}");
     for answer in refused {
         let error = answer.error.as_ref().expect("filtered above");
         assert_eq!(error.ran, Ran::No, "{name}");
         assert_eq!(
             answer.retry_after.is_some(),
-            case.comes_back,
+            case.has_retry_after,
             "{name}: {answer:?}"
         );
-        assert!(answer.total < AT_ONCE, "{name}: {answer:?}");
+        assert!(answer.total < REFUSAL_TIMEOUT, "{name}: {answer:?}");
     }
     Ok(())
 }
--- a/cypressvaned/tests/promises/own_answer.rs
+++ b/cypressvaned/tests/promises/own_answer.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request.
+//! Tests that a caller gets the whole answer to its own request, or an error.
 
 use std::io;
 
@@ -9,7 +9,7 @@
 use cypressvane_standin::proxy::{Fault, Way};
 
 use crate::common;
-use crate::dispatch::before_backend;
+use crate::dispatch::proxy_backend;
 use crate::evidence::{check, gather, seen, send};
 
 struct Case {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_answer_that_is_not_its_own_or_not_whole_is_said_to_be_so() {
+fn a_foreign_or_incomplete_answer_is_reported_as_an_error() {
     let settings = engine::Settings::default;
     let cases = [
         Case {
@@ -86,9 +86,9 @@
             fleet.submit(0, common::CONFIGURATION).await?;
             let ask = Ask::new(common::URGENT_KEY, "register-model", "mine");
             let ask = if case.stream { ask.streamed(9) } else { ask };
-            let told = gather(vec![send(fleet.callers(0), ask)]).await;
-            check(case.name, &told, &seen(&fleet, &[engine]).await?);
-            let answer = told[0]
+            let outcomes = gather(vec![send(fleet.callers(0), ask)]).await;
+            check(case.name, &outcomes, &seen(&fleet, &[engine]).await?);
+            let answer = outcomes[0]
                 .result
                 .as_ref()
                 .map_err(|error| io::Error::other(error.clone()))?;
@@ -109,17 +109,17 @@
 }
 
 #[test]
-fn an_answer_cut_at_any_byte_is_never_taken_for_whole() {
+fn an_answer_cut_at_any_byte_is_never_reported_as_whole() {
     common::run(async {
         let mut fleet = Fleet::spawn()?;
         let engine = fleet
             .add_engine("register-model", &engine::Settings::default())
             .await?;
-        let proxy = before_backend(&mut fleet, engine)?;
+        let proxy = proxy_backend(&mut fleet, engine)?;
         fleet.publish().await?;
         fleet.add_host("").await?;
         fleet.submit(0, common::CONFIGURATION).await?;
-        let mut told = Vec::new();
+        let mut outcomes = Vec::new();
         for stream in [false, true] {
             for bytes in (0..900).step_by(23) {
                 proxy.set(Fault {
@@ -129,20 +129,24 @@
                 let prompt = format!("question number-{bytes}-{stream}");
                 let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
                 let ask = if stream { ask.streamed(6) } else { ask };
-                // A server that fails again and again rests; the deadline covers its rest.
-                told.extend(gather(vec![send(fleet.callers(0), ask)]).await);
+                // A server that keeps failing gets no requests for a while; the deadline is longer than that.
+                outcomes.extend(gather(vec![send(fleet.callers(0), ask)]).await);
                 proxy.set(Fault::default());
                 let good = Ask::new(common::URGENT_KEY, "register-model", "between");
-                told.extend(gather(vec![send(fleet.callers(0), good)]).await);
+                outcomes.extend(gather(vec![send(fleet.callers(0), good)]).await);
             }
         }
-        check("cut at any byte", &told, &seen(&fleet, &[engine]).await?);
+        check(
+            "cut at any byte",
+            &outcomes,
+            &seen(&fleet, &[engine]).await?,
+        );
         Ok(())
     });
 }
 
 #[test]
-fn a_late_answer_reaches_nobody_else() {
+fn a_late_answer_reaches_no_other_caller() {
     common::run(async {
         let mut fleet = Fleet::spawn()?;
         let slow = engine::Settings {
@@ -158,19 +162,19 @@
             let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
             tasks.push(send(fleet.callers(0), ask));
         }
-        let mut told = gather(tasks).await;
+        let mut outcomes = gather(tasks).await;
         fleet
             .set_engine(engine, &engine::Settings::default())
             .await?;
         for index in 8..16 {
             let prompt = format!("question number-{index}");
             let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
-            told.extend(gather(vec![send(fleet.callers(0), ask)]).await);
+            outcomes.extend(gather(vec![send(fleet.callers(0), ask)]).await);
         }
-        check("late answers", &told, &seen(&fleet, &[engine]).await?);
-        let late = told[..8]
+        check("late answers", &outcomes, &seen(&fleet, &[engine]).await?);
+        let late = outcomes[..8]
             .iter()
-            .filter_map(|told| told.result.as_ref().ok()?.error.as_ref());
+            .filter_map(|outcome| outcome.result.as_ref().ok()?.error.as_ref());
         assert!(late.clone().count() > 0);
         assert!(
             late.into_iter()
--- a/cypressvaned/tests/promises/shedding.rs
+++ b/cypressvaned/tests/promises/shedding.rs
@@ -1,4 +1,4 @@
-//! A higher tier is never shed before a lower one.
+//! Tests that a higher tier is never shed before a lower one.
 
 use std::io;
 
@@ -10,35 +10,35 @@
 use crate::common;
 use crate::evidence::{Told, check, gather, seen, send, whole};
 
-/// Hosts of the fleet.
+/// Number of hosts.
 const HOSTS: usize = 3;
-/// Places of the queue.
-const WAITING: usize = 16;
-/// Requests of the lowest tier: as many as wait, and more.
-const CHEAP: usize = 24;
-/// Requests that run at once: two at each of two engines.
-const RUNNING: usize = 4;
+/// Most requests that the queue holds.
+const QUEUE_LIMIT: usize = 16;
+/// Requests of the lowest tier; more than run and wait together.
+const CHEAP_REQUESTS: usize = 24;
+/// Requests that run concurrently: two at each of two engines.
+const SLOTS: usize = 4;
 /// Rank of the lowest tier.
-const LOWEST: usize = 2;
-/// Requests of the highest tier: as many as the queue holds.
-const URGENT: usize = 12;
+const LOWEST_RANK: usize = 2;
+/// Requests of the highest tier; fewer than the queue holds.
+const URGENT_REQUESTS: usize = 12;
 
-fn slow() -> engine::Settings {
+fn slow_engine() -> engine::Settings {
     engine::Settings {
         decode_ms: 40.0,
         ..Default::default()
     }
 }
 
-async fn fleet_of() -> io::Result<(Fleet, Vec<usize>)> {
+async fn start_fleet() -> io::Result<(Fleet, Vec<usize>)> {
     let mut fleet = Fleet::spawn()?;
     let mut engines = Vec::new();
     for _ in 0..2 {
-        engines.push(fleet.add_engine("register-model", &slow()).await?);
+        engines.push(fleet.add_engine("register-model", &slow_engine()).await?);
     }
     for _ in 0..HOSTS {
         fleet
-            .add_host(&format!("[limits]\nwaiting = {WAITING}\n"))
+            .add_host(&format!("[limits]\nwaiting = {QUEUE_LIMIT}\n"))
             .await?;
     }
     let configuration = common::CONFIGURATION.replace("\"model\"", "\"model\"\nslots = 2");
@@ -56,16 +56,16 @@
     tasks.collect()
 }
 
-fn overloaded(told: &[Told]) -> usize {
-    let errors = told
+fn overloaded(outcomes: &[Told]) -> usize {
+    let errors = outcomes
         .iter()
-        .filter_map(|told| told.result.as_ref().ok()?.error.as_ref());
+        .filter_map(|outcome| outcome.result.as_ref().ok()?.error.as_ref());
     errors
         .filter(|error| error.code == Code::Overloaded)
         .count()
 }
 
-/// The host that keeps the pool's queue.
+/// Returns the first host with waiting prompt tokens, which is the home of the pool.
 async fn home(fleet: &Fleet) -> io::Result<usize> {
     for index in fleet.running() {
         let dump = fleet.dump(index).await?;
@@ -73,10 +73,10 @@
             return Ok(index);
         }
     }
-    Err(io::Error::other("nothing waits anywhere"))
+    Err(io::Error::other("no host has waiting requests"))
 }
 
-/// Slots of all servers as the first home has them; `None` while there is no pool.
+/// Returns the slots of all servers as reported by the first host with the pool; `None` if no host has it.
 async fn slots(fleet: &Fleet) -> Option<usize> {
     for index in fleet.running() {
         let dump = fleet.dump(index).await.ok()?;
@@ -89,7 +89,8 @@
     None
 }
 
-/// Requests that wait in all queues at `rank` and below.
+/// Returns the number of requests that wait in all queues at `rank` and in lower tiers; 0 if a host gives
+/// no dump.
 async fn waiting(fleet: &Fleet, rank: usize) -> usize {
     let mut waiting = 0;
     for index in fleet.running() {
@@ -104,10 +105,10 @@
 }
 
 #[test]
-fn a_burst_of_the_highest_tier_at_one_host_displaces_the_lowest_at_others() {
+fn a_burst_of_the_highest_tier_on_one_host_displaces_the_lowest_on_others() {
     common::run(async {
-        let (fleet, engines) = fleet_of().await?;
-        // Nothing ends while the tiers meet, so that what makes room for what is the home's doing.
+        let (fleet, engines) = start_fleet().await?;
+        // No request finishes while both tiers wait, so that only displacement by the home makes room.
         let halted = engine::Settings {
             decode_ms: 4_000.0,
             ..Default::default()
@@ -117,41 +118,50 @@
         }
         fleet
             .until("the home knows the servers' slots", async || {
-                slots(&fleet).await == Some(RUNNING)
+                slots(&fleet).await == Some(SLOTS)
             })
             .await?;
-        let cheap = burst(&fleet, common::CHEAP_KEY, CHEAP, &[1, 2]);
+        let cheap = burst(&fleet, common::CHEAP_KEY, CHEAP_REQUESTS, &[1, 2]);
         fleet
             .until("the queue is full of the lowest tier", async || {
-                waiting(&fleet, LOWEST).await == WAITING
+                waiting(&fleet, LOWEST_RANK).await == QUEUE_LIMIT
             })
             .await?;
-        let urgent = burst(&fleet, common::URGENT_KEY, URGENT, &[0]);
+        let urgent = burst(&fleet, common::URGENT_KEY, URGENT_REQUESTS, &[0]);
         fleet
-            .until("the highest tier took its places", async || {
-                waiting(&fleet, LOWEST).await == WAITING - URGENT
-            })
+            .until(
+                "the highest tier displaced requests of the lowest",
+                async || waiting(&fleet, LOWEST_RANK).await == QUEUE_LIMIT - URGENT_REQUESTS,
+            )
             .await?;
         for engine in &engines {
-            fleet.set_engine(*engine, &slow()).await?;
+            fleet.set_engine(*engine, &slow_engine()).await?;
         }
         let urgent = gather(urgent).await;
         let cheap = gather(cheap).await;
         let seen = seen(&fleet, &engines).await?;
         check("urgent", &urgent, &seen);
         check("cheap", &cheap, &seen);
-        assert_eq!(whole(&urgent), URGENT, "the highest tier is answered");
-        let kept = WAITING - URGENT + RUNNING;
-        assert_eq!(overloaded(&cheap), CHEAP - kept, "the lowest made room");
-        assert_eq!(whole(&cheap), kept, "and only as much as was needed");
+        assert_eq!(
+            whole(&urgent),
+            URGENT_REQUESTS,
+            "the highest tier is answered"
+        );
+        let kept = QUEUE_LIMIT - URGENT_REQUESTS + SLOTS;
+        assert_eq!(
+            overloaded(&cheap),
+            CHEAP_REQUESTS - kept,
+            "the lowest tier was displaced"
+        );
+        assert_eq!(whole(&cheap), kept, "no more than needed was displaced");
         Ok(())
     });
 }
 
 #[test]
-fn a_home_that_dies_sheds_no_higher_tier() {
+fn the_death_of_a_home_sheds_no_higher_tier() {
     common::run(async {
-        let (mut fleet, engines) = fleet_of().await?;
+        let (mut fleet, engines) = start_fleet().await?;
         let others =
             |home: usize| -> Vec<usize> { (0..HOSTS).filter(|host| *host != home).collect() };
         let probe = burst(&fleet, common::CHEAP_KEY, 12, &[0, 1, 2]);
@@ -160,18 +170,22 @@
             .await?;
         let dying = home(&fleet).await?;
         gather(probe).await;
-        let cheap = burst(&fleet, common::CHEAP_KEY, CHEAP, &others(dying));
+        let cheap = burst(&fleet, common::CHEAP_KEY, CHEAP_REQUESTS, &others(dying));
         fleet
             .until("requests wait", async || home(&fleet).await.is_ok())
             .await?;
-        let urgent = burst(&fleet, common::URGENT_KEY, URGENT, &others(dying));
+        let urgent = burst(&fleet, common::URGENT_KEY, URGENT_REQUESTS, &others(dying));
         fleet.hosts[dying].as_mut().expect("started").kill();
         let urgent = gather(urgent).await;
         let cheap = gather(cheap).await;
         let seen = seen(&fleet, &engines).await?;
         check("urgent", &urgent, &seen);
         check("cheap", &cheap, &seen);
-        assert_eq!(whole(&urgent), URGENT, "the highest tier is answered");
+        assert_eq!(
+            whole(&urgent),
+            URGENT_REQUESTS,
+            "the highest tier is answered"
+        );
         Ok(())
     });
 }
--- a/cypressvaned/tests/promises/shutdown.rs
+++ b/cypressvaned/tests/promises/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown cuts no request: a rolling restart under load shows no error.
+//! Tests that a graceful shutdown cuts no request: a rolling restart under load causes no error.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,26 +16,26 @@
 use crate::common;
 use crate::evidence::{check, gather, seen, send, whole};
 
-/// Hosts that are restarted one after the other.
+/// Number of hosts, which are restarted one after the other.
 const HOSTS: usize = 7;
-/// Longest time that a host may take to end.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// How often the balancer asks whether hosts are ready.
+/// Longest time that a host may take to exit.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval of the readiness checks of the balancer.
 const BALANCER_POLL: Duration = Duration::from_millis(50);
-/// Settings with a grace in which the balancer notices.
+/// A grace period in which the balancer notices that a host is not ready.
 const SETTINGS: &str = "[timeouts]\ngrace_ms = 500\n";
 
-/// The platform's balancer: sends callers to hosts that say they are ready.
+/// Stands in for the platform's load balancer: sends callers to hosts that report ready.
 #[derive(Clone, Default)]
 struct Balancer {
-    /// Callers' and operators' address of each host.
+    /// Addresses of the listeners for callers and for operators of each host.
     hosts: Arc<Mutex<Vec<(SocketAddr, SocketAddr)>>>,
     ready: Arc<Mutex<Vec<SocketAddr>>>,
 }
 
 impl Balancer {
-    async fn look(&self) {
-        let hosts = self.hosts.lock().expect("no panic under it").clone();
+    async fn check_ready(&self) {
+        let hosts = self.hosts.lock().expect("the lock is not poisoned").clone();
         let mut ready = Vec::new();
         for (callers, operators) in hosts {
             let request = client::request(Method::Get, operators, "/readyz");
@@ -44,17 +44,17 @@
                 ready.push(callers);
             }
         }
-        *self.ready.lock().expect("no panic under it") = ready;
+        *self.ready.lock().expect("the lock is not poisoned") = ready;
     }
 
     fn pick(&self, turn: usize) -> Option<SocketAddr> {
-        let ready = self.ready.lock().expect("no panic under it");
+        let ready = self.ready.lock().expect("the lock is not poisoned");
         (!ready.is_empty()).then(|| ready[turn % ready.len()])
     }
 }
 
 #[test]
-fn a_rolling_restart_of_all_hosts_shows_no_error() {
+fn a_rolling_restart_of_all_hosts_causes_no_error() {
     common::run(async {
         let mut fleet = Fleet::spawn()?;
         let settings = engine::Settings {
@@ -77,13 +77,13 @@
                 .map(|index| (fleet.callers(index), fleet.operators(index)))
                 .collect()
         };
-        *balancer.hosts.lock().expect("fresh") = addresses(&fleet);
-        balancer.look().await;
-        let looking = balancer.clone();
-        let _looking = spawn(async move {
+        *balancer.hosts.lock().expect("the lock is not poisoned") = addresses(&fleet);
+        balancer.check_ready().await;
+        let checker = balancer.clone();
+        let _checking = spawn(async move {
             loop {
                 Timer::after(BALANCER_POLL).await;
-                looking.look().await;
+                checker.check_ready().await;
             }
         });
         let done = Arc::new(AtomicBool::new(false));
@@ -110,26 +110,26 @@
         for index in 0..HOSTS {
             let mut host = fleet.hosts[index].take().expect("started");
             host.terminate();
-            let status = host.wait(PATIENCE).expect("it ends");
+            let status = host.wait(EXIT_TIMEOUT).expect("the host exits");
             assert_eq!(status.code(), Some(0), "host {index} cut requests");
             fleet.start_host(index, SETTINGS).await?;
             fleet.in_force(1).await?;
-            *balancer.hosts.lock().expect("no panic under it") = addresses(&fleet);
+            *balancer.hosts.lock().expect("the lock is not poisoned") = addresses(&fleet);
         }
         done.store(true, Ordering::Relaxed);
-        let told = load.await;
-        check("rolling restart", &told, &seen(&fleet, &engines).await?);
-        let failed: Vec<_> = told
+        let outcomes = load.await;
+        check("rolling restart", &outcomes, &seen(&fleet, &engines).await?);
+        let failed: Vec<_> = outcomes
             .iter()
-            .filter(|told| !told.result.as_ref().is_ok_and(|answer| answer.whole))
+            .filter(|outcome| !outcome.result.as_ref().is_ok_and(|answer| answer.whole))
             .collect();
         assert!(
             failed.is_empty(),
             "{} of {}: {failed:?}",
             failed.len(),
-            told.len()
+            outcomes.len()
         );
-        assert_eq!(whole(&told), told.len());
+        assert_eq!(whole(&outcomes), outcomes.len());
         Ok(())
     });
 }
--- a/cypressvaned/tests/server_limits.rs
+++ b/cypressvaned/tests/server_limits.rs
@@ -1,4 +1,5 @@
-//! Guards against: an engine that names a limit in its answers to completions is not known to.
+//! Guards against a host that does not learn the rate limit that an engine announces in its answers to
+//! completions, whole or streamed.
 
 mod common;
 
@@ -11,7 +12,7 @@
 const MODEL: &str = "register-model";
 const LIMIT: f64 = 2.5;
 
-/// The limit of the only engine as its pool's home knows it.
+/// Returns the rate limit of the only engine as known to its pool's home.
 async fn known_limit(fleet: &Fleet) -> Option<f64> {
     let dump = fleet.dump(0).await.ok()?;
     let mut servers = dump.pools.iter().flat_map(|pool| &pool.servers);
@@ -30,11 +31,11 @@
                 ..engine::Settings::default()
             };
             let engine = fleet.add_engine(MODEL, &settings).await?;
-            let mut what = Ask::new(common::URGENT_KEY, MODEL, "a prompt");
-            what.max_tokens = 2;
-            what.stream = case.stream;
+            let mut request = Ask::new(common::URGENT_KEY, MODEL, "a prompt");
+            request.max_tokens = 2;
+            request.stream = case.stream;
             let answered = async || {
-                let answer = ask(fleet.callers(0), &what).await;
+                let answer = ask(fleet.callers(0), &request).await;
                 answer.is_ok_and(|answer| answer.whole)
             };
             fleet.until("a completion is answered", answered).await?;
@@ -42,7 +43,7 @@
             settings.limit = None;
             fleet.set_engine(engine, &settings).await?;
             let is_unlimited = async || {
-                let answer = ask(fleet.callers(0), &what).await;
+                let answer = ask(fleet.callers(0), &request).await;
                 answer.is_ok() && known_limit(&fleet).await.is_none()
             };
             fleet.until("the limit ends", is_unlimited).await?;
--- a/cypressvaned/tests/settings.rs
+++ b/cypressvaned/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What `--check` and the command line say of settings.
+//! Tests the output and exit codes of `--check` and of the command line.
 
 use std::env;
 use std::fs;
@@ -6,15 +6,15 @@
 
 struct Case {
     name: &'static str,
-    /// Replaced in the good settings.
+    /// Text of the valid settings that `to` replaces.
     from: &'static str,
     to: &'static str,
     code: i32,
-    /// What must stand in the output.
-    says: &'static [&'static str],
+    /// Texts that the output must contain.
+    expected: &'static [&'static str],
 }
 
-const GOOD: &str = r#"[host]
+const VALID: &str = r#"[host]
 name = "hut-north-1"
 data_centre = "hut-north"
 region = "high-country"
@@ -36,39 +36,39 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "good",
+        name: "valid",
         from: "",
         to: "",
         code: 0,
-        says: &["the settings are right"],
+        expected: &["the settings are right"],
     },
     Case {
         name: "unknown key",
         from: "body_bytes = 1000",
         to: "body_bytes = 1000\nbody_bites = 7",
         code: 0,
-        says: &["warning", "line 16", "limits.body_bites"],
+        expected: &["warning", "line 16", "limits.body_bites"],
     },
     Case {
         name: "wrong type",
         from: "body_bytes = 1000",
         to: "body_bytes = \"many\"",
         code: 2,
-        says: &["line 15", "body_bytes", "many", "u64"],
+        expected: &["line 15", "body_bytes", "many", "u64"],
     },
     Case {
         name: "no address",
         from: "127.0.0.1:9001",
         to: "nowhere",
         code: 2,
-        says: &["line 11", "table", "socket address"],
+        expected: &["line 11", "table", "socket address"],
     },
     Case {
         name: "out of range",
         from: "head_ms = 100",
         to: "head_ms = 0",
         code: 2,
-        says: &[
+        expected: &[
             "line 18",
             "timeouts.head_ms",
             "0 found",
@@ -80,7 +80,7 @@
         from: "0123456789abcdef",
         to: "short",
         code: 2,
-        says: &[
+        expected: &[
             "line 5",
             "host.peer_key",
             "5 bytes found",
@@ -93,49 +93,49 @@
         to: "[retries]\nratio = 0.25\nspare = 33.1578947368421\nwindow_ms = 7.5e3\n\
              [accounts]\nwindow_ms = 10e3\noverage = 0.1\nslack = 7368.42\n[timeouts]",
         code: 0,
-        says: &["the settings are right"],
+        expected: &["the settings are right"],
     },
     Case {
-        name: "spare repeats below nothing",
+        name: "a negative number of spare retries",
         from: "[timeouts]",
         to: "[retries]\nspare = -0.5\n[timeouts]",
         code: 2,
-        says: &["retries.spare", "-0.5 found", "0 to 1048576"],
+        expected: &["retries.spare", "-0.5 found", "0 to 1048576"],
     },
     Case {
         name: "a window that is no number",
         from: "[timeouts]",
         to: "[accounts]\nwindow_ms = nan\n[timeouts]",
         code: 2,
-        says: &["accounts.window_ms", "NaN found"],
+        expected: &["accounts.window_ms", "NaN found"],
     },
     Case {
-        name: "one end of a server that settles a request",
+        name: "a single end of a server quarantines a request",
         from: "[timeouts]",
         to: "[quarantine]\nends = 1\n[timeouts]",
         code: 2,
-        says: &["quarantine.ends", "1 found", "2 to 60"],
+        expected: &["quarantine.ends", "1 found", "2 to 60"],
     },
     Case {
-        name: "an end that is remembered for too short a time",
+        name: "ends are remembered for too short a time",
         from: "[timeouts]",
         to: "[quarantine]\nkept_ms = 10\n[timeouts]",
         code: 2,
-        says: &["quarantine.kept_ms", "10 found", "1000 to 86400000"],
+        expected: &["quarantine.kept_ms", "10 found", "1000 to 86400000"],
     },
     Case {
         name: "missing section",
         from: "[platform]\ntable = \"127.0.0.1:9001\"\nhosts = \"127.0.0.1:9002\"\n",
         to: "",
         code: 2,
-        says: &["platform"],
+        expected: &["platform"],
     },
     Case {
         name: "no TOML",
         from: "[host]",
         to: "[host",
         code: 2,
-        says: &["line 1"],
+        expected: &["line 1"],
     },
 ];
 
@@ -147,30 +147,30 @@
         .expect("the daemon starts")
 }
 
-fn said(output: &Output) -> String {
+fn printed(output: &Output) -> String {
     let out = String::from_utf8_lossy(&output.stdout);
     let err = String::from_utf8_lossy(&output.stderr);
     format!("{out}{err}")
 }
 
 #[test]
-fn a_settings_file_is_checked_with_key_and_line() {
+fn errors_in_a_settings_file_name_key_and_line() {
     for (index, case) in CASES.iter().enumerate() {
         let path = env::temp_dir().join(format!("settings-{}-{index}.toml", std::process::id()));
-        fs::write(&path, GOOD.replace(case.from, case.to)).expect("a temporary file");
+        fs::write(&path, VALID.replace(case.from, case.to)).expect("a temporary file");
         let output = daemon(&["--check", "--config", &path.to_string_lossy()]);
         fs::remove_file(&path).expect("the file is there");
-        let said = said(&output);
+        let printed = printed(&output);
         assert_eq!(
             output.status.code(),
             Some(case.code),
-            "{}: {said}",
+            "{}: {printed}",
             case.name
         );
-        for words in case.says {
+        for substring in case.expected {
             assert!(
-                said.contains(words),
-                "{}: {words:?} is not in {said}",
+                printed.contains(substring),
+                "{}: {substring:?} is not in {printed}",
                 case.name
             );
         }
@@ -178,11 +178,11 @@
 }
 
 #[test]
-fn the_example_file_is_right() {
+fn the_example_file_is_valid() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/cypressvaned.toml");
     let text = fs::read_to_string(example).expect("the example is there");
-    // With every default spelled out, no key may be unknown or out of range.
-    let spelled_out: Vec<&str> = text
+    // The commented-out defaults are enabled, so that none may be an unknown key or out of range.
+    let uncommented: Vec<&str> = text
         .lines()
         .map(|line| {
             line.strip_prefix("# ")
@@ -192,12 +192,12 @@
         .filter(|line| !line.starts_with("bootstrap_key_sha256"))
         .collect();
     let path = env::temp_dir().join(format!("settings-{}-example.toml", std::process::id()));
-    fs::write(&path, spelled_out.join("\n")).expect("a temporary file");
+    fs::write(&path, uncommented.join("\n")).expect("a temporary file");
     for file in [example, &path.to_string_lossy()] {
         let output = daemon(&["--check", "--config", file]);
-        let said = said(&output);
-        assert_eq!(output.status.code(), Some(0), "{said}");
-        assert!(!said.contains("warning"), "{said}");
+        let printed = printed(&output);
+        assert_eq!(output.status.code(), Some(0), "{printed}");
+        assert!(!printed.contains("warning"), "{printed}");
     }
     fs::remove_file(&path).expect("the file is there");
 }
@@ -217,10 +217,10 @@
         ),
         (&["--dev", "--listen", "0.0.0.0:0"], 2, "loopback"),
     ];
-    for (arguments, code, words) in cases {
+    for (arguments, code, substring) in cases {
         let output = daemon(arguments);
-        let said = said(&output);
-        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {said}");
-        assert!(said.contains(words), "{arguments:?}: {said}");
+        let printed = printed(&output);
+        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {printed}");
+        assert!(printed.contains(substring), "{arguments:?}: {printed}");
     }
 }
--- a/cypressvaned/tests/seven_hosts.rs
+++ b/cypressvaned/tests/seven_hosts.rs
@@ -1,4 +1,4 @@
-//! Seven hosts before twenty-two backend servers of three speeds answer a mixed load.
+//! Tests that seven hosts with 22 backend servers answer a mixed load; the engines have three speeds.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,12 +12,12 @@
 
 const HOSTS: usize = 7;
 const ENGINES: u32 = 18;
-const PLAINS: usize = 4;
+const PLAIN_SERVERS: usize = 4;
 const REQUESTS: usize = 420;
-/// Requests to the plain service.
+/// Number of requests to the plain service.
 const PLAIN_REQUESTS: usize = 60;
-/// Prefill speeds of the three generations, in prompt tokens a second.
-const SPEEDS: [f64; 3] = [8_000.0, 16_000.0, 32_000.0];
+/// Prefill rates of the three generations of engines, in prompt tokens per second.
+const PREFILL_RATES: [f64; 3] = [8_000.0, 16_000.0, 32_000.0];
 
 #[test]
 fn a_mixed_load_is_answered_whole_and_once() {
@@ -25,7 +25,7 @@
         let mut fleet = Fleet::spawn()?;
         let mut engines = Vec::new();
         for index in 0..ENGINES {
-            let prefill_rate = SPEEDS[index as usize % SPEEDS.len()];
+            let prefill_rate = PREFILL_RATES[index as usize % PREFILL_RATES.len()];
             let settings = engine::Settings {
                 prefill_rate,
                 decode_ms: 2.0,
@@ -33,7 +33,7 @@
             };
             engines.push(fleet.add_engine("register-model", &settings).await?);
         }
-        for _ in 0..PLAINS {
+        for _ in 0..PLAIN_SERVERS {
             fleet.add_plain("permit-desk").await?;
         }
         for _ in 0..HOSTS {
@@ -60,7 +60,7 @@
         let plain = (0..PLAIN_REQUESTS).map(|index| {
             let address = fleet.callers(index % HOSTS);
             spawn(async move {
-                common::plain(address, "permit-desk", &format!("/permits/{index}")).await
+                common::call_plain(address, "permit-desk", &format!("/permits/{index}")).await
             })
         });
         let plain: Vec<_> = plain.collect();
--- a/cypressvaned/tests/shards.rs
+++ b/cypressvaned/tests/shards.rs
@@ -1,4 +1,4 @@
-//! A pool that is cut into shards: each has a home of its own, and no request hangs on one of them.
+//! Tests a pool that is split into shards: each shard has its own home, and no request depends on a single home.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,16 +11,16 @@
 mod common;
 
 const HOSTS: usize = 4;
-/// More than a pool that stays whole has.
+/// More servers than a pool with a single shard has.
 const ENGINES: usize = 36;
 const SHARDS: u16 = 2;
-/// Enough that each shard is offered some, whatever the numbers drawn.
+/// Enough that each shard is offered some requests, whatever random numbers are drawn.
 const REQUESTS: usize = 60;
 const MODEL: &str = "register-model";
-/// Homes do not move while the test lasts.
+/// A long suspect timeout, so that homes do not move during the test.
 const SETTINGS: &str = "[timeouts]\nsuspect_ms = 3600000\n";
 
-/// The host that keeps each shard; `None` until all are kept once.
+/// Returns the home of each shard; `None` unless each shard has exactly one home.
 async fn homes(fleet: &Fleet) -> Option<BTreeMap<u16, usize>> {
     let mut homes = BTreeMap::new();
     for index in fleet.running() {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_home_that_gives_no_word_holds_up_no_request() {
+fn a_home_that_does_not_answer_blocks_no_request() {
     common::run(async {
         let mut fleet = Fleet::spawn()?;
         let settings = engine::Settings {
@@ -56,18 +56,21 @@
                 homes(&fleet).await.is_some()
             })
             .await?;
-        let homes = homes(&fleet).await.expect("they were there just now");
-        let (frozen, kept) = (homes[&1], homes[&0]);
-        assert_ne!(frozen, kept, "the names of hosts give two homes");
+        let homes = homes(&fleet).await.expect("each shard had a home just now");
+        let (frozen, live) = (homes[&1], homes[&0]);
+        assert_ne!(
+            frozen, live,
+            "with these host names the shards have different homes"
+        );
         fleet.host(frozen).freeze();
-        let holder = (0..HOSTS).find(|host| *host != frozen && *host != kept);
+        let holder = (0..HOSTS).find(|host| *host != frozen && *host != live);
         let address = fleet.callers(holder.expect("there are four"));
-        let asked = (0..REQUESTS).map(|index| {
+        let answers = (0..REQUESTS).map(|index| {
             let request = Ask::new(common::URGENT_KEY, MODEL, &format!("number-{index}"));
             spawn(async move { (ask(address, &request).await, request) })
         });
-        let asked: Vec<_> = asked.collect();
-        for answer in asked {
+        let answers: Vec<_> = answers.collect();
+        for answer in answers {
             let (answer, request) = answer.await;
             let answer = answer.map_err(io::Error::other)?;
             assert!(answer.whole, "{:?}", answer.error);
--- a/cypressvaned/tests/whole_path.rs
+++ b/cypressvaned/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! A request from the caller through host and engine and back, in separate processes.
+//! Tests completions from a caller through a host to an engine and back, with host and engine in
+//! separate processes.
 
 use cypressvane_standin::caller::{Ask, ask};
 use cypressvane_standin::engine;
