--- a/cypressvane_ctl/src/engine.rs
+++ b/cypressvane_ctl/src/engine.rs
@@ -11,23 +11,23 @@
 /// Runs a subcommand.
 pub async fn run(client: &Client, engine: Engine, output: Output) -> Result<(), Error> {
     let (server, order) = match engine.command {
-        Some(EngineCommand::Load(loading)) => {
-            let kind = kind(&loading)?;
+        Some(EngineCommand::Load(arguments)) => {
+            let kind = kind(&arguments)?;
             (
-                loading.server,
+                arguments.server,
                 Order::Load {
                     kind,
-                    name: loading.name,
+                    name: arguments.name,
                 },
             )
         }
-        Some(EngineCommand::Unload(loading)) => {
-            let kind = kind(&loading)?;
+        Some(EngineCommand::Unload(arguments)) => {
+            let kind = kind(&arguments)?;
             (
-                loading.server,
+                arguments.server,
                 Order::Unload {
                     kind,
-                    name: loading.name,
+                    name: arguments.name,
                 },
             )
         }
@@ -48,8 +48,8 @@
     })
 }
 
-fn kind(loading: &LoadArguments) -> Result<Kind, Error> {
-    match loading.kind.as_str() {
+fn kind(arguments: &LoadArguments) -> Result<Kind, Error> {
+    match arguments.kind.as_str() {
         "model" => Ok(Kind::Model),
         "adapter" => Ok(Kind::Adapter),
         "version" => Ok(Kind::Version),
--- a/cypressvaned/src/cli.rs
+++ b/cypressvaned/src/cli.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-/// Schedules requests to backend servers of different speeds: the daemon of an entry host.
+/// Schedules requests to heterogeneous backend servers: the daemon of an entry host.
 ///
 /// Exit codes: 0 drained with every request finished; 1 could not start or run; 2 invalid command
 /// line or settings; 3 drained, but requests were cut at the end of the drain time.
