--- a/cypressvane_ctl/src/explain.rs
+++ b/cypressvane_ctl/src/explain.rs
@@ -149,7 +149,7 @@
 fn text(explanation: &Explanation) -> String {
     let mut text = format!("request {}", explanation.request_id);
     match &explanation.cause {
-        None => text.push_str(": no log line says how it ended"),
+        None => text.push_str(": its end is not told"),
         Some(cause) => {
             let _ = write!(text, ": {}", cause.outcome);
             if let Some(reason) = &cause.reason {
--- a/cypressvane_ctl/src/profile.rs
+++ b/cypressvane_ctl/src/profile.rs
@@ -59,7 +59,7 @@
         })?;
     }
     if durations.is_empty() {
-        let message = "these files have no line about an answered request".to_owned();
+        let message = "no line of these files tells of an answered request".to_owned();
         return Err(Error::Unexpected(message));
     }
     let profiles: BTreeMap<String, Profile> = durations
--- a/cypressvaned/src/main.rs
+++ b/cypressvaned/src/main.rs
@@ -159,7 +159,7 @@
 fn reload(path: Option<&Path>, log: &Logger) {
     let Some(path) = path else { return };
     match settings::load(path) {
-        Ok(_) => slog::info!(log, "the settings are valid and apply from the next start"),
+        Ok(_) => slog::info!(log, "the settings are right, and count from the next start"),
         Err(error) => slog::error!(log, "the settings are wrong"; "cause" => %error),
     }
 }
