--- a/cypressvane_ctl/src/engine.rs
+++ b/cypressvane_ctl/src/engine.rs
@@ -3,31 +3,31 @@
 use cypressvane::order::{Entry, Kind, Order};
 use http_types::Method;
 
-use crate::cli::{Engine, EngineCommand, Loading};
+use crate::cli::{Engine, EngineCommand, LoadArguments};
 use crate::error::Error;
-use crate::operator::{Operator, parse};
+use crate::operator::{Client, parse};
 use crate::output::Output;
 
 /// Runs a subcommand.
-pub async fn run(operator: &Operator, engine: Engine, output: Output) -> Result<(), Error> {
+pub async fn run(client: &Client, engine: Engine, output: Output) -> Result<(), Error> {
     let (server, order) = match engine.command {
-        Some(EngineCommand::Load(loading)) => {
-            let kind = kind(&loading)?;
+        Some(EngineCommand::Load(arguments)) => {
+            let kind = kind(&arguments)?;
             (
-                loading.server,
+                arguments.server,
                 Order::Load {
                     kind,
-                    name: loading.name,
+                    name: arguments.name,
                 },
             )
         }
-        Some(EngineCommand::Unload(loading)) => {
-            let kind = kind(&loading)?;
+        Some(EngineCommand::Unload(arguments)) => {
+            let kind = kind(&arguments)?;
             (
-                loading.server,
+                arguments.server,
                 Order::Unload {
                     kind,
-                    name: loading.name,
+                    name: arguments.name,
                 },
             )
         }
@@ -39,7 +39,7 @@
         }
     };
     let body = serde_json::to_string(&order).map_err(|error| Error::Usage(error.to_string()))?;
-    let reply = operator
+    let reply = client
         .call(Method::Post, &format!("/v1/orders?server={server}"), &body)
         .await?;
     let entry: Entry = parse(&reply)?;
@@ -48,8 +48,8 @@
     })
 }
 
-fn kind(loading: &Loading) -> Result<Kind, Error> {
-    match loading.kind.as_str() {
+fn kind(arguments: &LoadArguments) -> Result<Kind, Error> {
+    match arguments.kind.as_str() {
         "model" => Ok(Kind::Model),
         "adapter" => Ok(Kind::Adapter),
         "version" => Ok(Kind::Version),
