--- a/cypressvane/src/coordination/admission/mod.rs
+++ b/cypressvane/src/coordination/admission/mod.rs
@@ -71,7 +71,7 @@
             .and_then(Estimate::mean);
         let runs = Duration::from_secs_f64(runs.unwrap_or_default().max(0.0));
         let first = fastest.unwrap_or_default() + DISPATCH_OVERHEAD;
-        before(offer.deadline, first).min(before(offer.whole_by, first + runs))
+        before(offer.first_token_deadline, first).min(before(offer.answer_deadline, first + runs))
     }
 
     /// Whether an on-time offer with `ahead` others before it is likely to be granted by `until`.
@@ -122,7 +122,7 @@
             self.run_times
                 .entry(kind)
                 .or_default()
-                .learn(time.as_secs_f64());
+                .observe(time.as_secs_f64());
         }
     }
 
@@ -151,7 +151,7 @@
             "{ahead} go before it and {:.1} a second {what}; it has waited for {} ms and its caller leaves in {} ms",
             rate.rate(now),
             millis_since(offer.arrived, now),
-            millis_since(now, offer.deadline),
+            millis_since(now, offer.first_token_deadline),
         );
         if let Some(limits) = limits {
             // Writing to a `String` cannot fail.
--- a/cypressvane/src/coordination/admission/returns.rs
+++ b/cypressvane/src/coordination/admission/returns.rs
@@ -38,7 +38,7 @@
     pub(crate) fn book(&mut self, offer: &Offer, late_rate: &GrantRate, now: Instant) -> Duration {
         self.remember(offer.mark, now);
         let longest = offer
-            .whole_by
+            .answer_deadline
             .saturating_duration_since(now)
             .mul_f64(PATIENCE_SHARE);
         let earliest = now + RETURN_MIN;
--- a/cypressvane/src/coordination/backoff.rs
+++ b/cypressvane/src/coordination/backoff.rs
@@ -26,7 +26,7 @@
     /// Records a failed call and returns the delay before the next one.
     ///
     /// `is_poller` tells whether other hosts rely on what this host reads; it selects the maximum delay.
-    pub fn failed(&mut self, is_poller: bool) -> Duration {
+    pub fn next_delay(&mut self, is_poller: bool) -> Duration {
         let max = if is_poller {
             DELAY_MAX_POLLER
         } else {
@@ -38,7 +38,7 @@
     }
 
     /// Resets the delay after a successful call.
-    pub fn answered(&mut self) {
+    pub fn reset(&mut self) {
         self.next = self.first;
     }
 }
--- a/cypressvane/src/coordination/backoff_tests.rs
+++ b/cypressvane/src/coordination/backoff_tests.rs
@@ -12,7 +12,7 @@
     let (mut calls, mut passed) = (0, Duration::ZERO);
     while passed < outage {
         calls += 1;
-        passed += backoff.failed(is_poller);
+        passed += backoff.next_delay(is_poller);
     }
     calls
 }
@@ -61,10 +61,10 @@
 fn the_delay_resets_after_an_answer_and_shortens_for_a_polling_host() {
     let mut backoff = Backoff::new(FIRST);
     for _ in 0..10 {
-        backoff.failed(false);
+        backoff.next_delay(false);
     }
     // The host has become a polling host.
-    assert_eq!(backoff.failed(true), Duration::from_millis(400));
-    backoff.answered();
-    assert_eq!(backoff.failed(true), FIRST);
+    assert_eq!(backoff.next_delay(true), Duration::from_millis(400));
+    backoff.reset();
+    assert_eq!(backoff.next_delay(true), FIRST);
 }
--- a/cypressvane/src/coordination/budget.rs
+++ b/cypressvane/src/coordination/budget.rs
@@ -120,7 +120,7 @@
 impl Budget {
     /// Creates the budgets of a host that starts at `now`.
     #[must_use]
-    pub fn open(now: Instant) -> Self {
+    pub fn new(now: Instant) -> Self {
         Self {
             started_at: now,
             hosts: HostCounts::default(),
@@ -131,7 +131,7 @@
     /// Records how many hosts share the budget, including this one.
     ///
     /// Must be called regularly, but only while the number is known.
-    pub fn shared_by(&mut self, hosts: u32, bounds: &Bounds, now: Instant) {
+    pub fn set_host_count(&mut self, hosts: u32, bounds: &Bounds, now: Instant) {
         self.hosts.note(hosts, bounds.window, now);
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Takes one retry from the budget; returns `false` if none is left.
-    pub fn repeat(&mut self, service: &Name, bounds: &Bounds, now: Instant) -> bool {
+    pub fn take_retry(&mut self, service: &Name, bounds: &Bounds, now: Instant) -> bool {
         let spare = self.spare(bounds, now);
         let service = self.services.entry(service.clone()).or_default();
         service.interval(bounds, now);
--- a/cypressvane/src/coordination/demand.rs
+++ b/cypressvane/src/coordination/demand.rs
@@ -29,11 +29,11 @@
 
 /// Combined demand of the tiers above another one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Higher {
+pub(crate) struct HigherDemand {
     /// Prompt tokens per second.
     pub(crate) rate: f64,
     /// Shortest promised time to the first token.
-    pub(crate) first_token: Duration,
+    pub(crate) first_token_target: Duration,
 }
 
 /// Demand of all tiers, by rank.
@@ -60,20 +60,20 @@
     }
 
     /// Demand of the tiers above `rank`; `None` if they have none.
-    pub(crate) fn above(&self, rank: usize, now: Instant) -> Option<Higher> {
+    pub(crate) fn above(&self, rank: usize, now: Instant) -> Option<HigherDemand> {
         let tiers = self
             .tiers
             .range(..rank)
             .map(|(_, tier)| (tier.rate_at(now), tier.first_token));
         let present = tiers.filter(|(rate, _)| *rate >= TIER_RATE_MIN);
-        present.fold(None, |higher: Option<Higher>, (rate, first_token)| {
-            let higher = higher.unwrap_or(Higher {
+        present.fold(None, |higher: Option<HigherDemand>, (rate, first_token)| {
+            let higher = higher.unwrap_or(HigherDemand {
                 rate: 0.0,
-                first_token,
+                first_token_target: first_token,
             });
-            Some(Higher {
+            Some(HigherDemand {
                 rate: higher.rate + rate,
-                first_token: higher.first_token.min(first_token),
+                first_token_target: higher.first_token_target.min(first_token),
             })
         })
     }
--- a/cypressvane/src/coordination/estimate.rs
+++ b/cypressvane/src/coordination/estimate.rs
@@ -14,7 +14,7 @@
 
 impl Estimate {
     /// Adds an observation; the first ones are weighted equally.
-    pub(crate) fn learn(&mut self, value: f64) {
+    pub(crate) fn observe(&mut self, value: f64) {
         self.observations = self.observations.saturating_add(1);
         let weight = WEIGHT_MIN.max(1.0 / f64::from(self.observations));
         let off = value - self.mean;
@@ -30,7 +30,7 @@
     }
 
     /// Upper bound of most observations, the mean plus the mean absolute deviation; `None` without observations.
-    pub(crate) fn high(&self) -> Option<f64> {
+    pub(crate) fn upper(&self) -> Option<f64> {
         (self.observations > 0).then_some(self.mean + self.deviation)
     }
 }
--- a/cypressvane/src/coordination/home.rs
+++ b/cypressvane/src/coordination/home.rs
@@ -12,7 +12,7 @@
 }
 
 /// A host's position among `hosts`, by descending score for a subject; the home has position 0.
-pub(crate) fn place(subject: &str, hosts: &[Name], host: &Name) -> usize {
+pub(crate) fn position(subject: &str, hosts: &[Name], host: &Name) -> usize {
     let own = score(subject, host);
     let before = hosts.iter().filter(|other| *other != host);
     before.filter(|other| score(subject, other) > own).count()
--- a/cypressvane/src/coordination/idle.rs
+++ b/cypressvane/src/coordination/idle.rs
@@ -27,7 +27,7 @@
 
 impl Idle {
     /// Records a report from a shard's home.
-    pub(crate) fn hear(&mut self, shard: Shard, free_slots: u32, now: Instant) {
+    pub(crate) fn record_report(&mut self, shard: Shard, free_slots: u32, now: Instant) {
         self.reports.insert(
             shard,
             Report {
--- a/cypressvane/src/coordination/idle_tests.rs
+++ b/cypressvane/src/coordination/idle_tests.rs
@@ -63,7 +63,7 @@
         let start = Instant::now();
         let mut idle = Idle::default();
         for (number, free_slots) in case.reports {
-            idle.hear(shard(*number, 4), *free_slots, start);
+            idle.record_report(shard(*number, 4), *free_slots, start);
         }
         let now = start + Duration::from_millis(case.after);
         for expected in case.taken {
@@ -77,8 +77,8 @@
 fn shards_of_another_service_or_shard_count_get_no_offers() {
     let now = Instant::now();
     let mut idle = Idle::default();
-    idle.hear(shard(1, 8), 100, now);
-    idle.hear(
+    idle.record_report(shard(1, 8), 100, now);
+    idle.record_report(
         Shard {
             service: "other".into(),
             ..shard(1, 4)
--- a/cypressvane/src/coordination/lag.rs
+++ b/cypressvane/src/coordination/lag.rs
@@ -23,7 +23,7 @@
 
 impl Lag {
     /// Creates the measurement for a task that is due every `period`.
-    pub(crate) fn of(period: Duration) -> Self {
+    pub(crate) fn new(period: Duration) -> Self {
         Self {
             period,
             last: None,
@@ -34,7 +34,7 @@
     }
 
     /// Records a run of the task.
-    pub(crate) fn turn(&mut self, now: Instant) {
+    pub(crate) fn record_run(&mut self, now: Instant) {
         let passed = self
             .last
             .replace(now)
@@ -48,7 +48,7 @@
     }
 
     /// Longest delay in the current and the previous span, including the delay of a run that is overdue.
-    pub(crate) fn recent(&self, now: Instant) -> Duration {
+    pub(crate) fn longest(&self, now: Instant) -> Duration {
         let overdue = self
             .last
             .map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
--- a/cypressvane/src/coordination/lag_tests.rs
+++ b/cypressvane/src/coordination/lag_tests.rs
@@ -60,11 +60,11 @@
     for case in CASES {
         let start = Instant::now();
         let at = |millis| start + Duration::from_millis(millis);
-        let mut lag = Lag::of(PERIOD);
+        let mut lag = Lag::new(PERIOD);
         for run in case.runs {
-            lag.turn(at(*run));
+            lag.record_run(at(*run));
         }
         let expected = Duration::from_millis(case.lag);
-        assert_eq!(lag.recent(at(case.measured_at)), expected, "{}", case.name);
+        assert_eq!(lag.longest(at(case.measured_at)), expected, "{}", case.name);
     }
 }
--- a/cypressvane/src/coordination/limit/mod.rs
+++ b/cypressvane/src/coordination/limit/mod.rs
@@ -40,29 +40,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
     /// Number of hosts for which this host gives out, itself included.
-    pub heard: u32,
+    pub represented: u32,
     /// Number of all hosts that may give out.
-    pub known: u32,
+    pub total: u32,
 }
 
 impl Share {
     /// Returns the share of a host that gives out only for itself.
     #[must_use]
     pub fn own(self) -> Self {
-        Self { heard: 1, ..self }
+        Self {
+            represented: 1,
+            ..self
+        }
     }
 
     /// Returns the share as a fraction from 0 to 1.
     #[must_use]
     pub fn part(self) -> f64 {
-        let known = self.known.max(1);
-        f64::from(self.heard.min(known)) / f64::from(known)
+        let known = self.total.max(1);
+        f64::from(self.represented.min(known)) / f64::from(known)
     }
 
     /// Returns this share of a limit, rounded up so that it is not zero.
     fn of_limit(self, limit: u32) -> f64 {
-        let known = u64::from(self.known.max(1));
-        let heard = u64::from(self.heard).min(known);
+        let known = u64::from(self.total.max(1));
+        let heard = u64::from(self.represented).min(known);
         real((u64::from(limit) * heard).div_ceil(known))
     }
 
@@ -120,7 +123,7 @@
     ///
     /// # Errors
     /// Returns the limit that the request exceeds, and takes nothing.
-    pub fn spend(
+    pub fn try_take(
         &mut self,
         account: &Account,
         tokens: u32,
@@ -181,7 +184,7 @@
 
     /// Drops the buckets of the accounts that `moved` selects, whose home is now this host or no longer is: what
     /// other hosts gave out meanwhile is unknown. New buckets start to fill at `now`.
-    pub fn rehome(&mut self, moved: impl Fn(&Name) -> bool, now: Instant) {
+    pub fn reset_moved(&mut self, moved: impl Fn(&Name) -> bool, now: Instant) {
         self.since = now;
         self.accounts.retain(|account, _| !moved(account));
     }
--- a/cypressvane/src/coordination/mod.rs
+++ b/cypressvane/src/coordination/mod.rs
@@ -14,17 +14,16 @@
 //! | `rollout` | how many requests a new version of a service gets, and whether it is healthy |
 //! | `shard` | how a large pool is sharded, and which shard a request is offered to |
 //! | `idle` | which other shard has free slots |
-//! | `answering` | which homes do not reply to this host |
+//! | `silent_shards` | which homes do not reply to this host |
 //! | `home` | which host is the home of a pool or an account |
 //! | `lag` | how far a host is behind schedule |
-//! | `lapse` | whether a server that is missing from the host list is gone |
+//! | `retention` | whether a server that is missing from the host list is gone |
 //! | `lease` | how long an observation of the platform stays valid |
 //! | `backoff` | how long to wait after failed calls |
-//! | `rest` | when such a wait ends early |
+//! | `retry_delay` | when such a wait ends early |
 //! | `policy` | the results of the operators' policy programs |
 
 pub(crate) mod admission;
-pub(crate) mod answering;
 pub mod backoff;
 pub mod budget;
 pub(crate) mod demand;
@@ -33,7 +32,6 @@
 pub(crate) mod home;
 pub(crate) mod idle;
 pub(crate) mod lag;
-pub mod lapse;
 pub(crate) mod lease;
 pub mod limit;
 pub(crate) mod offer;
@@ -41,8 +39,10 @@
 pub mod pool;
 pub(crate) mod quarantine;
 pub(crate) mod queue;
-pub(crate) mod rest;
+pub mod retention;
+pub(crate) mod retry_delay;
 pub mod rollout;
 pub(crate) mod server;
 pub(crate) mod servers;
 pub mod shard;
+pub(crate) mod silent_shards;
--- a/cypressvane/src/coordination/offer.rs
+++ b/cypressvane/src/coordination/offer.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::coordination::server::Work;
-use crate::coordination::servers::placement::Likes;
+use crate::coordination::servers::placement::Preferences;
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 use crate::state::reason::Reason;
@@ -36,15 +36,15 @@
     /// When the request arrived.
     pub arrived: Instant,
     /// Time after which its first token is useless.
-    pub deadline: Instant,
+    pub first_token_deadline: Instant,
     /// Promised time from arrival to the first token.
-    pub first_token: Duration,
+    pub first_token_target: Duration,
     /// Longest acceptable pause between the events of its answer; zero if unbounded.
     pub pause: Duration,
     /// Expected number of answer tokens; 0 if unknown.
     pub answer_tokens: u32,
     /// Time after which its whole answer is useless.
-    pub whole_by: Instant,
+    pub answer_deadline: Instant,
     /// The server that failed it, if any.
     pub avoid: Option<Name>,
     /// Whether it is refused as soon as it is unlikely to be granted on time.
@@ -66,14 +66,16 @@
     /// deadline.
     pub(crate) fn due(&self) -> Instant {
         if self.early && !self.late {
-            return self.deadline.min(self.arrived + self.first_token);
+            return self
+                .first_token_deadline
+                .min(self.arrived + self.first_token_target);
         }
-        self.deadline
+        self.first_token_deadline
     }
 
     /// Its preferences among servers that are otherwise equal.
-    pub(crate) fn likes(&self) -> Likes {
-        Likes {
+    pub(crate) fn preferences(&self) -> Preferences {
+        Preferences {
             opening: self.opening,
             data_centre: self.data_centre.clone(),
         }
--- a/cypressvane/src/coordination/policy.rs
+++ b/cypressvane/src/coordination/policy.rs
@@ -87,7 +87,7 @@
 
 impl Verdict {
     /// Queue by tier and deadline alone.
-    pub const PLAIN: Self = Self::Wait { priority: 0 };
+    pub const DEFAULT: Self = Self::Wait { priority: 0 };
 }
 
 /// Error of a program, at compilation or at run time.
@@ -130,12 +130,12 @@
 }
 
 /// The compiled programs of a configuration.
-pub struct Set {
+pub struct Programs {
     engine: Engine,
     programs: HashMap<Name, AST>,
 }
 
-impl std::fmt::Debug for Set {
+impl std::fmt::Debug for Programs {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
             .debug_list()
@@ -144,7 +144,7 @@
     }
 }
 
-impl Set {
+impl Programs {
     /// Compiles every program of a configuration and runs each once on an example request.
     ///
     /// # Errors
@@ -188,13 +188,13 @@
         Ok(ast)
     }
 
-    /// Runs a program on a request; an unknown policy gives [`Verdict::PLAIN`].
+    /// Runs a program on a request; an unknown policy gives [`Verdict::DEFAULT`].
     ///
     /// # Errors
-    /// Returns why the program failed; the caller of this function then falls back to [`Verdict::PLAIN`].
+    /// Returns why the program failed; the caller of this function then falls back to [`Verdict::DEFAULT`].
     pub fn decide(&self, policy: &Name, request: &Request, queue: Queue) -> Result<Verdict, Error> {
         let Some(ast) = self.programs.get(policy) else {
-            return Ok(Verdict::PLAIN);
+            return Ok(Verdict::DEFAULT);
         };
         let failed = |message: String| Error::Failed {
             policy: policy.clone(),
@@ -241,7 +241,7 @@
     engine.disable_symbol("print");
     engine.disable_symbol("debug");
     engine.register_type_with_name::<Verdict>("Verdict");
-    engine.register_fn("wait", || Verdict::PLAIN);
+    engine.register_fn("wait", || Verdict::DEFAULT);
     engine.register_fn("wait", |priority: i64| Verdict::Wait {
         priority: priority.clamp(-PRIORITY_MAX, PRIORITY_MAX),
     });
@@ -288,4 +288,4 @@
 }
 
 /// The programs of a configuration, shared by all requests under it.
-pub type Shared = Arc<Set>;
+pub type Shared = Arc<Programs>;
--- a/cypressvane/src/coordination/pool/turns.rs
+++ b/cypressvane/src/coordination/pool/grants.rs
@@ -23,7 +23,7 @@
             let Some(offer) = self.queue.remove(&ticket) else {
                 break;
             };
-            if now + choice.first_token > offer.deadline {
+            if now + choice.first_token > offer.first_token_deadline {
                 // The offer spent its time in the queue, even if its deadline is still a moment away.
                 actions.push(refuse(offer, Reason::deadline_passed()));
                 continue;
@@ -31,7 +31,7 @@
             let (server, work) = (choice.server, offer.work());
             let address = self.servers.change(&server, |server| {
                 server.send(ticket.clone(), work, now);
-                server.note_opening(offer.opening, now);
+                server.record_opening(offer.opening, now);
                 (server.address, server.pacing.limit().is_some())
             });
             let Some((address, limited)) = address else {
@@ -67,14 +67,16 @@
         }
         for offer in self.queue.in_order().take(OFFERS_EXAMINED_MAX) {
             if offer.early {
-                if let Some(choice) = self.servers.place(offer, now) {
+                if let Some(choice) = self.servers.choose_on_time(offer, now) {
                     return Some((offer.ticket.clone(), choice));
                 }
                 continue;
             }
-            let (tokens, likes) = (offer.prompt_tokens.into(), offer.likes());
+            let (tokens, preferences) = (offer.prompt_tokens.into(), offer.preferences());
             let room = room(&self.demand, offer, now);
-            let choice = self.servers.choose(tokens, &room, &likes, now)?;
+            let choice = self
+                .servers
+                .choose_within(tokens, &room, &preferences, now)?;
             return Some((offer.ticket.clone(), choice));
         }
         None
@@ -84,10 +86,14 @@
 /// How far an offer may fill a server: up to half of its own promised first-token time and, while higher tiers have
 /// demand, up to half of what those may fill.
 fn room(demand: &Demand, offer: &Offer, now: Instant) -> Room {
-    let own = offer.first_token.mul_f64(WINDOW_SHARE);
+    let own = offer.first_token_target.mul_f64(WINDOW_SHARE);
     let higher = demand.above(offer.rank, now);
     let window = higher.map_or(own, |higher| {
-        own.min(higher.first_token.mul_f64(WINDOW_SHARE * LOWER_TIER_SHARE))
+        own.min(
+            higher
+                .first_token_target
+                .mul_f64(WINDOW_SHARE * LOWER_TIER_SHARE),
+        )
     });
     Room { window, higher }
 }
--- a/cypressvane/src/coordination/pool/intake.rs
+++ b/cypressvane/src/coordination/pool/intake.rs
@@ -18,7 +18,7 @@
     /// Queues an early-refusal offer, on time or late, or refuses it.
     pub(super) fn admit(&mut self, mut offer: Offer, now: Instant) -> Option<Action> {
         let (queue, servers) = (&self.queue, &self.servers);
-        let fastest = servers.fastest(offer.prompt_tokens.into());
+        let fastest = servers.fastest_first_token(offer.prompt_tokens.into());
         if !offer.late {
             let until = admission::latest_on_time_grant(&offer, fastest);
             let ahead = queue.ahead_of(&offer);
@@ -40,7 +40,7 @@
 
     /// Queues an offer until its deadline.
     pub(super) fn enqueue(&mut self, offer: Offer) {
-        let until = offer.deadline;
+        let until = offer.first_token_deadline;
         self.queue.push(offer, until);
     }
 
@@ -53,7 +53,7 @@
     ) -> Option<Reason> {
         let paced = self.servers.paced_wait(self.queue.ahead_of(offer), now);
         let ahead = self.time_ahead(offer.rank).max(paced.unwrap_or_default());
-        if now + ahead + soonest <= offer.deadline {
+        if now + ahead + soonest <= offer.first_token_deadline {
             return None;
         }
         let message = format!(
--- a/cypressvane/src/coordination/pool/mod.rs
+++ b/cypressvane/src/coordination/pool/mod.rs
@@ -3,8 +3,8 @@
 //! Requests wait on the hosts that received them. The home orders their offers, counts the granted prompt tokens, and
 //! limits each server's backlog so that first tokens arrive in time.
 
+mod grants;
 mod intake;
-mod turns;
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -16,8 +16,8 @@
 pub use crate::coordination::offer::{Action, End, Offer, Spec, Ticket};
 use crate::coordination::queue::Queue;
 use crate::coordination::server::health::State;
-pub use crate::coordination::server::pacing::Told;
-use crate::coordination::servers::{Change, LimitChange, Servers};
+pub use crate::coordination::server::pacing::ReportedLimit;
+use crate::coordination::servers::{LimitChange, Servers, StateChange};
 use crate::state::clock::Instant;
 pub use crate::state::config::Belief;
 use crate::state::name::Name;
@@ -71,7 +71,7 @@
     /// Updates the servers from the host list.
     pub fn set_servers(&mut self, specs: &[Spec], now: Instant) -> Vec<Action> {
         // These requests ran on an earlier process of a restarted server, so their end must not affect the new one.
-        for ticket in self.servers.follow(specs, now) {
+        for ticket in self.servers.apply_list(specs, now) {
             self.granted.remove(&ticket);
         }
         self.grant(now)
@@ -85,7 +85,10 @@
         if let Some(action) = self.repeat_grant(&offer.ticket) {
             return vec![action];
         }
-        let Some(soonest) = self.servers.soonest(offer.prompt_tokens.into(), now) else {
+        let Some(soonest) = self
+            .servers
+            .soonest_first_token(offer.prompt_tokens.into(), now)
+        else {
             return vec![self.refuse_without_server(offer, now)];
         };
         let mut actions = Vec::new();
@@ -108,8 +111,12 @@
 
     /// Adds an offer to its tier's demand.
     fn note_demand(&mut self, offer: &Offer, now: Instant) {
-        self.demand
-            .add(offer.rank, offer.prompt_tokens, offer.first_token, now);
+        self.demand.add(
+            offer.rank,
+            offer.prompt_tokens,
+            offer.first_token_target,
+            now,
+        );
     }
 
     /// The grant of a ticket that was already granted, to send it again.
@@ -134,7 +141,7 @@
     }
 
     /// Records that the first token of a granted request arrived.
-    pub fn first_token(&mut self, ticket: &Ticket, now: Instant) -> Vec<Action> {
+    pub fn note_first_token(&mut self, ticket: &Ticket, now: Instant) -> Vec<Action> {
         let Some(granted) = self.granted.get(ticket) else {
             return Vec::new();
         };
@@ -144,7 +151,7 @@
     }
 
     /// Records the longest pause in a granted request's stream, just before the stream ends.
-    pub fn paused(&mut self, ticket: &Ticket, longest: Duration) {
+    pub fn note_longest_pause(&mut self, ticket: &Ticket, longest: Duration) {
         if let Some(granted) = self.granted.get(ticket) {
             self.servers
                 .change(&granted.server, |server| server.paused(ticket, longest));
@@ -153,7 +160,7 @@
 
     /// Records the limit, in requests per second, in a server's answer to a granted request; `None` if the answer
     /// names no limit.
-    pub fn hear_limit(
+    pub fn apply_limit(
         &mut self,
         ticket: &Ticket,
         server: &Name,
@@ -164,13 +171,18 @@
         let own = self.granted.get(ticket).filter(|own| own.kind.is_some());
         let sent = own.filter(|own| own.server == *server).map(|own| own.at);
         self.servers
-            .hear_limit(server, named, sent, &ticket.holder, now);
+            .apply_limit(server, named, sent, &ticket.holder, now);
         self.grant(now)
     }
 
     /// Records a server's limit that another host received earlier.
-    pub fn hear_earlier_limit(&mut self, server: &Name, told: Told, now: Instant) -> Vec<Action> {
-        self.servers.hear_earlier_limit(server, told, now);
+    pub fn apply_reported_limit(
+        &mut self,
+        server: &Name,
+        reported: ReportedLimit,
+        now: Instant,
+    ) -> Vec<Action> {
+        self.servers.apply_reported_limit(server, reported, now);
         self.grant(now)
     }
 
@@ -178,8 +190,8 @@
     ///
     /// A home that hears from only some of the hosts leaves the remaining share to another home that may hear from the
     /// others.
-    pub fn share(&mut self, part: f64, now: Instant) -> Vec<Action> {
-        self.servers.share(part, now);
+    pub fn set_limit_share(&mut self, part: f64, now: Instant) -> Vec<Action> {
+        self.servers.set_limit_share(part, now);
         self.grant(now)
     }
 
@@ -205,7 +217,7 @@
                 End::Broken => server.fail(false, now),
                 End::Unreachable => server.fail(true, now),
                 End::Leaving | End::Replaced => server.health.set(State::Leaving, now),
-                End::Full => server.health.pause(now),
+                End::Full => server.health.pause_full(now),
             }
         });
         self.grant(now)
@@ -303,7 +315,7 @@
     }
 
     /// Takes the changes of server states since the last call.
-    pub(crate) fn take_changes(&mut self) -> Vec<Change> {
+    pub(crate) fn take_changes(&mut self) -> Vec<StateChange> {
         self.servers.take_changes()
     }
 
@@ -314,8 +326,8 @@
 
     /// Number of servers with a limit.
     #[must_use]
-    pub fn limited(&self) -> usize {
-        self.servers.limited()
+    pub fn limited_count(&self) -> usize {
+        self.servers.limited_count()
     }
 
     /// Whether the ticket's request waits in the queue.
@@ -326,21 +338,21 @@
 
     /// Whether the ticket's request waits, or is granted and has not ended.
     #[must_use]
-    pub fn knows(&self, ticket: &Ticket) -> bool {
+    pub fn contains(&self, ticket: &Ticket) -> bool {
         self.is_waiting(ticket) || self.granted.contains_key(ticket)
     }
 
     /// Whether a new offer would have to wait.
     #[must_use]
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         self.queue.len() > 0 || !self.servers.is_any_open()
     }
 
     /// Free slots of live servers, as far as the servers' limits allow their use, minus the waiting requests.
     #[must_use]
-    pub fn idle_places(&self, now: Instant) -> u32 {
+    pub fn free_slots(&self, now: Instant) -> u32 {
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
-        self.servers.idle_places(now).saturating_sub(waiting)
+        self.servers.free_slots(now).saturating_sub(waiting)
     }
 
     /// Number of waiting requests.
@@ -364,7 +376,7 @@
     /// Number of servers that accept requests.
     #[must_use]
     pub fn servers(&self) -> usize {
-        self.servers.working()
+        self.servers.working_count()
     }
 
     /// The pool's entry in the state dump.
--- a/cypressvane/src/coordination/quarantine/mod.rs
+++ b/cypressvane/src/coordination/quarantine/mod.rs
@@ -38,7 +38,7 @@
     /// Servers that end under a request before it is quarantined; `None` if no request ever is.
     pub(crate) ends: Option<usize>,
     /// How long suspects, cleared requests and rulings are remembered.
-    pub(crate) kept: Duration,
+    pub(crate) retention: Duration,
 }
 
 /// What operators see of a request.
@@ -52,18 +52,18 @@
 
 /// Result of recording the end of a server under a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Shown {
+pub(crate) enum EndOutcome {
     /// Nothing changed.
     Nothing,
     /// The request is a suspect; this many servers have ended under it.
     Suspect(usize),
     /// The request is quarantined from now on.
-    Settled(Ruling),
+    Quarantined(Ruling),
 }
 
 /// Result of recording a whole answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Cleared {
+pub(crate) enum AnswerOutcome {
     /// The request was no suspect.
     Nothing,
     /// The request is no longer a suspect.
@@ -88,18 +88,18 @@
             bounds,
             suspects: HashMap::new(),
             cleared: HashMap::new(),
-            rulings: Rulings::new(bounds.kept),
+            rulings: Rulings::new(bounds.retention),
         }
     }
 
     /// Whether there are no suspects and no rulings, so that no request needs a lookup.
-    pub(crate) fn is_calm(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.rulings.is_empty()
     }
 
     /// Whether a request is quarantined.
-    pub(crate) fn holds(&self, fingerprint: &Fingerprint, now: Instant) -> bool {
-        self.rulings.holds(fingerprint, now)
+    pub(crate) fn is_quarantined(&self, fingerprint: &Fingerprint, now: Instant) -> bool {
+        self.rulings.is_quarantined(fingerprint, now)
     }
 
     /// Records that a server ended while it ran a request.
@@ -109,12 +109,12 @@
         subject: &Subject,
         end: End,
         now: Instant,
-    ) -> Shown {
+    ) -> EndOutcome {
         let Some(ends_min) = self.bounds.ends else {
-            return Shown::Nothing;
+            return EndOutcome::Nothing;
         };
-        if self.holds(&fingerprint, now) {
-            return Shown::Nothing;
+        if self.is_quarantined(&fingerprint, now) {
+            return EndOutcome::Nothing;
         }
         let ends_min = if self.was_cleared(&fingerprint, now) {
             ends_min * CLEARED_FACTOR
@@ -128,34 +128,34 @@
         let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(subject.clone()));
         if !suspect.add(end) {
-            return Shown::Nothing;
+            return EndOutcome::Nothing;
         }
         if !suspect.ends_servers(ends_min) {
-            return Shown::Suspect(suspect.distinct_ends());
+            return EndOutcome::Suspect(suspect.distinct_ends());
         }
         let servers = suspect.servers();
         self.suspects.remove(&fingerprint);
-        Shown::Settled(
+        EndOutcome::Quarantined(
             self.rulings
                 .quarantine(fingerprint, subject.clone(), servers, now),
         )
     }
 
     /// Records that a request was answered whole.
-    pub(crate) fn answered(&mut self, fingerprint: &Fingerprint, now: Instant) -> Cleared {
+    pub(crate) fn answered(&mut self, fingerprint: &Fingerprint, now: Instant) -> AnswerOutcome {
         let was_suspect = self.suspects.contains_key(fingerprint);
         if was_suspect {
-            self.forgive(fingerprint, now);
+            self.clear(fingerprint, now);
         }
         match self.release(fingerprint, now) {
-            Some(ruling) => Cleared::Ruling(ruling),
-            None if was_suspect => Cleared::Suspicion,
-            None => Cleared::Nothing,
+            Some(ruling) => AnswerOutcome::Ruling(ruling),
+            None if was_suspect => AnswerOutcome::Suspicion,
+            None => AnswerOutcome::Nothing,
         }
     }
 
     /// Records that a suspect was answered whole, on this host or another.
-    pub(crate) fn forgive(&mut self, fingerprint: &Fingerprint, now: Instant) {
+    pub(crate) fn clear(&mut self, fingerprint: &Fingerprint, now: Instant) {
         self.suspects.remove(fingerprint);
         self.cleared.insert(*fingerprint, now);
         if self.cleared.len() > CLEARED_MAX {
@@ -173,7 +173,7 @@
     }
 
     /// Merges another host's ruling; returns whether it was news.
-    pub(crate) fn hear(&mut self, ruling: Ruling, now: Instant) -> bool {
+    pub(crate) fn merge(&mut self, ruling: Ruling, now: Instant) -> bool {
         let fingerprint = ruling.fingerprint;
         let is_news = self.rulings.merge(ruling, now);
         if is_news {
@@ -199,14 +199,14 @@
 
     /// Removes expired entries; returns how many requests are still quarantined.
     pub(crate) fn sweep(&mut self, now: Instant) -> usize {
-        let kept = self.bounds.kept;
+        let retention = self.bounds.retention;
         self.suspects.retain(|_, suspect| {
             suspect
-                .last()
-                .is_some_and(|last| now.saturating_duration_since(last) < kept)
+                .last_end()
+                .is_some_and(|last| now.saturating_duration_since(last) < retention)
         });
         self.cleared
-            .retain(|_, at| now.saturating_duration_since(*at) < kept);
+            .retain(|_, at| now.saturating_duration_since(*at) < retention);
         self.rulings.sweep(now);
         self.rulings.quarantined()
     }
@@ -215,7 +215,7 @@
     /// remembered.
     fn was_cleared(&self, fingerprint: &Fingerprint, now: Instant) -> bool {
         let at = self.cleared.get(fingerprint);
-        at.is_some_and(|at| now.saturating_duration_since(*at) < self.bounds.kept)
+        at.is_some_and(|at| now.saturating_duration_since(*at) < self.bounds.retention)
     }
 
     /// Evicts the oldest suspect of the account if the account has too many, or of all accounts if there are too
@@ -237,7 +237,7 @@
 
     fn oldest_matching(&self, predicate: impl Fn(&Suspect) -> bool) -> Option<Fingerprint> {
         let matching = self.suspects.iter().filter(|(_, it)| predicate(it));
-        let oldest = matching.min_by_key(|(_, suspect)| suspect.last());
+        let oldest = matching.min_by_key(|(_, suspect)| suspect.last_end());
         oldest.map(|(fingerprint, _)| *fingerprint)
     }
 }
--- a/cypressvane/src/coordination/quarantine/ruling.rs
+++ b/cypressvane/src/coordination/quarantine/ruling.rs
@@ -29,27 +29,27 @@
 
 impl Ruling {
     /// Whether the request is quarantined.
-    pub(crate) fn holds(&self) -> bool {
+    pub(crate) fn is_quarantined(&self) -> bool {
         self.version % 2 == 1
     }
 
-    /// Whether the ruling is younger than `kept`.
-    fn is_in_force(&self, kept: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.since) < kept
+    /// Whether the ruling is younger than `retention`.
+    fn is_in_force(&self, retention: Duration, now: Instant) -> bool {
+        now.saturating_duration_since(self.since) < retention
     }
 }
 
 /// The newest ruling on each request.
 #[derive(Debug)]
 pub(crate) struct Rulings {
-    kept: Duration,
+    retention: Duration,
     newest: HashMap<Fingerprint, Ruling>,
 }
 
 impl Rulings {
-    pub(super) fn new(kept: Duration) -> Self {
+    pub(super) fn new(retention: Duration) -> Self {
         Self {
-            kept,
+            retention,
             newest: HashMap::new(),
         }
     }
@@ -58,9 +58,11 @@
         self.newest.is_empty()
     }
 
-    pub(super) fn holds(&self, fingerprint: &Fingerprint, now: Instant) -> bool {
+    pub(super) fn is_quarantined(&self, fingerprint: &Fingerprint, now: Instant) -> bool {
         let ruling = self.newest.get(fingerprint);
-        ruling.is_some_and(|ruling| ruling.holds() && ruling.is_in_force(self.kept, now))
+        ruling.is_some_and(|ruling| {
+            ruling.is_quarantined() && ruling.is_in_force(self.retention, now)
+        })
     }
 
     /// Quarantines a request that was not quarantined.
@@ -88,7 +90,7 @@
     /// Releases a request; `None` if it was not quarantined.
     pub(super) fn release(&mut self, fingerprint: &Fingerprint, now: Instant) -> Option<Ruling> {
         let ruling = self.newest.get_mut(fingerprint)?;
-        if !ruling.holds() {
+        if !ruling.is_quarantined() {
             return None;
         }
         ruling.version += 1;
@@ -98,7 +100,7 @@
 
     /// Merges another host's ruling; returns whether it is newer than the known one.
     pub(super) fn merge(&mut self, ruling: Ruling, now: Instant) -> bool {
-        if !ruling.is_in_force(self.kept, now) {
+        if !ruling.is_in_force(self.retention, now) {
             return false;
         }
         match self.newest.get_mut(&ruling.fingerprint) {
@@ -122,7 +124,10 @@
 
     /// Returns how many requests are quarantined.
     pub(super) fn quarantined(&self) -> usize {
-        let quarantined = self.newest.values().filter(|ruling| ruling.holds());
+        let quarantined = self
+            .newest
+            .values()
+            .filter(|ruling| ruling.is_quarantined());
         quarantined.count()
     }
 
@@ -135,9 +140,9 @@
     }
 
     pub(super) fn sweep(&mut self, now: Instant) {
-        let kept = self.kept;
+        let retention = self.retention;
         self.newest
-            .retain(|_, ruling| ruling.is_in_force(kept, now));
+            .retain(|_, ruling| ruling.is_in_force(retention, now));
     }
 
     fn insert(&mut self, ruling: Ruling) {
--- a/cypressvane/src/coordination/quarantine/suspect.rs
+++ b/cypressvane/src/coordination/quarantine/suspect.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns when a server last ended under the request.
-    pub(crate) fn last(&self) -> Option<Instant> {
+    pub(crate) fn last_end(&self) -> Option<Instant> {
         self.ends.iter().map(|end| end.ended).max()
     }
 
--- a/cypressvane/src/coordination/quarantine_tests.rs
+++ b/cypressvane/src/coordination/quarantine_tests.rs
@@ -4,14 +4,16 @@
 
 use Step::{Answered, AnsweredElsewhere, End as Ended, Released};
 
-use super::{Bounds, Cleared, End, Quarantine, Ruling, SUSPECTS_OF_ACCOUNT_MAX, Shown, Subject};
-use crate::drawn;
+use super::{
+    AnswerOutcome, Bounds, End, EndOutcome, Quarantine, Ruling, SUSPECTS_OF_ACCOUNT_MAX, Subject,
+};
+use crate::seeded;
 use crate::state::clock::Instant;
 use crate::state::fingerprint::{Fingerprint, Identity};
 
 const BOUNDS: Bounds = Bounds {
     ends: Some(3),
-    kept: Duration::from_secs(600),
+    retention: Duration::from_secs(600),
 };
 /// Timeline from when a request is sent to the end of its server.
 const RUN: Duration = Duration::from_millis(50);
@@ -278,16 +280,16 @@
                 Answered(ms) => {
                     quarantine.answered(&fingerprint, time.at(ms));
                 }
-                AnsweredElsewhere(ms) => quarantine.forgive(&fingerprint, time.at(ms)),
+                AnsweredElsewhere(ms) => quarantine.clear(&fingerprint, time.at(ms)),
                 Released(ms) => {
                     quarantine.release(&fingerprint, time.at(ms));
                 }
             }
         }
-        let holds = quarantine.holds(&fingerprint, time.at(case.at));
+        let holds = quarantine.is_quarantined(&fingerprint, time.at(case.at));
         assert_eq!(holds, case.holds, "{}", case.name);
         assert!(
-            !quarantine.holds(&request("other"), time.at(case.at)),
+            !quarantine.is_quarantined(&request("other"), time.at(case.at)),
             "{}",
             case.name
         );
@@ -303,15 +305,15 @@
     });
     for id in 0..9 {
         let ms = 1_000 * (id + 1);
-        let shown = quarantine.ended(
+        let outcome = quarantine.ended(
             request("asked"),
             &subject(),
             time.end(id, "a", ms),
             time.at(ms),
         );
-        assert_eq!(shown, Shown::Nothing);
+        assert_eq!(outcome, EndOutcome::Nothing);
     }
-    assert!(quarantine.is_calm());
+    assert!(quarantine.is_empty());
 }
 
 /// Returns a quarantine in which `fingerprint` is quarantined, and the ruling.
@@ -320,7 +322,8 @@
     for (id, server) in [(1, "a"), (2, "b"), (3, "c")] {
         let ms = 200 * id;
         let end = time.end(id, server, ms);
-        if let Shown::Settled(ruling) = quarantine.ended(fingerprint, &subject(), end, time.at(ms))
+        if let EndOutcome::Quarantined(ruling) =
+            quarantine.ended(fingerprint, &subject(), end, time.at(ms))
         {
             return (quarantine, ruling);
         }
@@ -336,19 +339,19 @@
         let time = Timeline(Instant::now());
         let fingerprint = request("asked");
         let (mut host, first) = quarantine_with_ruling(&time, fingerprint);
-        let Cleared::Ruling(second) = host.answered(&fingerprint, time.at(700)) else {
+        let AnswerOutcome::Ruling(second) = host.answered(&fingerprint, time.at(700)) else {
             return false;
         };
         let mut third = first.clone();
         for (id, server) in [(4, "a"), (5, "b"), (6, "c")] {
             let ms = 600 + 200 * (id - 3);
-            let shown = host.ended(
+            let outcome = host.ended(
                 fingerprint,
                 &subject(),
                 time.end(id, server, ms),
                 time.at(ms),
             );
-            if let Shown::Settled(ruling) = shown {
+            if let EndOutcome::Quarantined(ruling) = outcome {
                 third = ruling;
             }
         }
@@ -356,11 +359,11 @@
         let mut other = Quarantine::new(BOUNDS);
         for index in order.iter().chain(&[0, 1, 2]) {
             let ruling = rulings[usize::from(*index) % rulings.len()].clone();
-            other.hear(ruling, time.at(1_500));
+            other.merge(ruling, time.at(1_500));
         }
-        other.digest() == host.digest() && other.holds(&fingerprint, time.at(1_500))
+        other.digest() == host.digest() && other.is_quarantined(&fingerprint, time.at(1_500))
     }
-    drawn::quickcheck().quickcheck(agree as fn(Vec<u8>) -> bool);
+    seeded::quickcheck().quickcheck(agree as fn(Vec<u8>) -> bool);
 }
 
 #[test]
@@ -368,8 +371,8 @@
     let time = Timeline(Instant::now());
     let (_, ruling) = quarantine_with_ruling(&time, request("asked"));
     let mut other = Quarantine::new(BOUNDS);
-    assert!(!other.hear(ruling, time.at(700_000)));
-    assert!(other.is_calm());
+    assert!(!other.merge(ruling, time.at(700_000)));
+    assert!(other.is_empty());
 }
 
 #[test]
@@ -385,7 +388,7 @@
         for (id, (server, bystander)) in (0_u64..).zip(steps) {
             ms += 1_100;
             let now = time.at(ms);
-            if quarantine.holds(&guilty, now) {
+            if quarantine.is_quarantined(&guilty, now) {
                 continue;
             }
             ends += 1;
@@ -396,13 +399,13 @@
                 quarantine.ended(fingerprint, &subject(), end, now);
             }
             quarantine.answered(&innocent, time.at(ms + 500));
-            if quarantine.holds(&innocent, now) {
+            if quarantine.is_quarantined(&innocent, now) {
                 return false;
             }
         }
         ends <= 3
     }
-    drawn::quickcheck().quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
+    seeded::quickcheck().quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
 }
 
 #[test]
@@ -417,9 +420,9 @@
         quarantine.ended(fingerprint, &subject(), end, time.at(100));
     }
     let last = time.end(40, "server-40", 1_000);
-    let shown = quarantine.ended(fingerprint, &subject(), last, time.at(1_000));
-    let Shown::Settled(ruling) = shown else {
-        panic!("{shown:?}");
+    let outcome = quarantine.ended(fingerprint, &subject(), last, time.at(1_000));
+    let EndOutcome::Quarantined(ruling) = outcome else {
+        panic!("{outcome:?}");
     };
     assert_eq!(ruling.servers.len(), 8);
 }
@@ -439,8 +442,8 @@
         time.at(100),
     );
     let (quarantine_of_other, ruling) = quarantine_with_ruling(&time, request("settled"));
-    assert!(!quarantine_of_other.is_calm());
-    quarantine.hear(ruling, time.at(600));
+    assert!(!quarantine_of_other.is_empty());
+    quarantine.merge(ruling, time.at(600));
     for id in 1..=3 * SUSPECTS_OF_ACCOUNT_MAX as u64 {
         let body = format!("body {id}");
         let ms = 1_000 + id;
@@ -454,5 +457,5 @@
     let suspects: Vec<_> = quarantine.suspects().collect();
     assert_eq!(suspects.len(), SUSPECTS_OF_ACCOUNT_MAX + 1);
     assert!(suspects.iter().any(|(it, _)| **it == request("theirs")));
-    assert!(quarantine.holds(&request("settled"), time.at(10_000)));
+    assert!(quarantine.is_quarantined(&request("settled"), time.at(10_000)));
 }
--- a/cypressvane/src/coordination/queue.rs
+++ b/cypressvane/src/coordination/queue.rs
@@ -178,7 +178,7 @@
         is_new_if_late: offer.late && !offer.returning,
         negated_priority: -offer.priority,
         is_new: !offer.returning,
-        deadline: offer.deadline,
+        deadline: offer.first_token_deadline,
         arrival,
     }
 }
--- a/cypressvane/src/coordination/lapse.rs
+++ b/cypressvane/src/coordination/retention.rs
@@ -20,14 +20,14 @@
 
 /// Entries that are retained although the host list no longer has them.
 #[derive(Debug, Default)]
-pub struct Lapse {
+pub struct Retention {
     /// The host list as last read.
     last: HashMap<Name, Entry>,
     /// Retained entries, each with the time at which it is dropped.
     retained: HashMap<Name, (Entry, Instant)>,
 }
 
-impl Lapse {
+impl Retention {
     /// Adds the retained entries to `listed`, the host list as read now.
     ///
     /// `recovered_at` is the time at which the list became available again after an outage, if there was one.
@@ -70,7 +70,7 @@
 
     /// When the next retained entry is dropped.
     #[must_use]
-    pub fn ends(&self) -> Option<Instant> {
+    pub fn next_expiry(&self) -> Option<Instant> {
         self.retained.values().map(|(_, until)| *until).min()
     }
 }
--- a/cypressvane/src/coordination/rest.rs
+++ b/cypressvane/src/coordination/retry_delay.rs
@@ -16,7 +16,7 @@
 
 /// When the platform last answered, as far as this host knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Answered {
+pub(crate) struct LastAnswers {
     /// Last answer to any call of this host.
     pub(crate) here: Option<Instant>,
     /// Last answer to another host.
@@ -25,16 +25,16 @@
 
 /// The wait after a failed call.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Rest {
+pub(crate) struct RetryDelay {
     began: Instant,
     length: Duration,
     /// Whether only this host's calls failed when the wait began: others had recent answers.
     is_only_host: bool,
 }
 
-impl Rest {
+impl RetryDelay {
     /// Begins a wait of at most `length`.
-    pub(crate) fn begin(length: Duration, answered: Answered, now: Instant) -> Self {
+    pub(crate) fn begin(length: Duration, answered: LastAnswers, now: Instant) -> Self {
         let is_recent = |at: Instant| now.saturating_duration_since(at) <= RECENT_ANSWER_AGE_MAX;
         Self {
             began: now,
@@ -44,12 +44,12 @@
     }
 
     /// Remaining time, given what is known now.
-    pub(crate) fn left(&self, answered: Answered, now: Instant) -> Duration {
+    pub(crate) fn remaining(&self, answered: LastAnswers, now: Instant) -> Duration {
         let end = self.began + self.length(answered);
         end.saturating_duration_since(now)
     }
 
-    fn length(&self, answered: Answered) -> Duration {
+    fn length(&self, answered: LastAnswers) -> Duration {
         let is_after_start = |at: Option<Instant>| at.is_some_and(|at| at > self.began);
         if is_after_start(answered.here) {
             return Duration::ZERO;
@@ -66,5 +66,5 @@
 }
 
 #[cfg(test)]
-#[path = "rest_tests.rs"]
+#[path = "retry_delay_tests.rs"]
 mod tests;
--- a/cypressvane/src/coordination/rest_tests.rs
+++ b/cypressvane/src/coordination/retry_delay_tests.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use super::{Answered, Rest};
+use super::{LastAnswers, RetryDelay};
 use crate::coordination::backoff::Backoff;
-use crate::drawn;
+use crate::seeded;
 use crate::state::clock::Instant;
 
 /// Maximum backoff of a host that does not poll on behalf of others.
@@ -81,18 +81,18 @@
     for case in cases {
         let began = Instant::now() + ms(60_000);
         let before = case.elsewhere_before.map(|ago| began - ms(ago));
-        let known = Answered {
+        let known = LastAnswers {
             here: None,
             elsewhere: before,
         };
-        let rest = Rest::begin(ms(DELAY_MAX_MS), known, began);
+        let delay = RetryDelay::begin(ms(DELAY_MAX_MS), known, began);
         let expected_length = (0..=DELAY_MAX_MS).find(|passed| {
             let by_now = |at: Option<u64>| at.filter(|at| at <= passed).map(|at| began + ms(at));
-            let known = Answered {
+            let known = LastAnswers {
                 here: by_now(case.here),
                 elsewhere: by_now(case.elsewhere).or(before),
             };
-            rest.left(known, began + ms(*passed)).is_zero()
+            delay.remaining(known, began + ms(*passed)).is_zero()
         });
         assert_eq!(expected_length, Some(case.expected_length), "{}", case.name);
     }
@@ -112,17 +112,18 @@
         while call_at < recovered_ms {
             let failed_at = call_at + call_ms;
             let reported_at = failed_at - failed_at % reported_every_ms;
-            let answered = Answered {
+            let answered = LastAnswers {
                 here: None,
                 elsewhere: Some(start + ms(reported_at)),
             };
-            let rest = Rest::begin(backoff.failed(false), answered, start + ms(failed_at));
-            let left = rest.left(answered, start + ms(failed_at));
+            let delay =
+                RetryDelay::begin(backoff.next_delay(false), answered, start + ms(failed_at));
+            let left = delay.remaining(answered, start + ms(failed_at));
             call_at = failed_at + u64::try_from(left.as_millis()).expect("a wait is short");
         }
         call_at - recovered_ms <= call_ms + ONLY_HOST_DELAY_MAX_MS
     }
-    drawn::quickcheck().quickcheck(holds as fn(u64, u64, u64) -> bool);
+    seeded::quickcheck().quickcheck(holds as fn(u64, u64, u64) -> bool);
 }
 
 /// Nothing that a host learns extends a wait beyond its backoff delay.
@@ -136,12 +137,12 @@
     ) -> bool {
         let began = Instant::now();
         let at = |value: u16| began + ms(value.into());
-        let rest = Rest::begin(ms(length_ms.into()), Answered::default(), began);
-        let answered = Answered {
+        let delay = RetryDelay::begin(ms(length_ms.into()), LastAnswers::default(), began);
+        let answered = LastAnswers {
             here: here_ms.map(at),
             elsewhere: elsewhere_ms.map(at),
         };
-        rest.left(answered, at(passed_ms)) <= ms(length_ms.saturating_sub(passed_ms).into())
+        delay.remaining(answered, at(passed_ms)) <= ms(length_ms.saturating_sub(passed_ms).into())
     }
-    drawn::quickcheck().quickcheck(holds as fn(u16, u16, Option<u16>, Option<u16>) -> bool);
+    seeded::quickcheck().quickcheck(holds as fn(u16, u16, Option<u16>, Option<u16>) -> bool);
 }
--- a/cypressvane/src/coordination/rollout/mod.rs
+++ b/cypressvane/src/coordination/rollout/mod.rs
@@ -8,7 +8,7 @@
 //! get.
 
 mod evidence;
-mod said;
+mod report;
 pub(crate) mod version;
 
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 
 use evidence::Evidence;
 pub use evidence::Tally;
-pub use said::{Report, Shown, Word};
+pub use report::{Instruction, Report, Summary};
 
 use crate::state::clock::Instant;
 use crate::state::name::Name;
@@ -139,11 +139,11 @@
     pub fn renumber(&mut self, order: &Order) {
         self.order.number = order.number;
         self.order.era = order.era;
-        self.forget_kept();
+        self.forget_stored();
     }
 
     /// Marks the stored progress as unknown, because the platform may have lost it; it is stored again.
-    pub fn forget_kept(&mut self) {
+    pub fn forget_stored(&mut self) {
         self.stored_stage = None;
     }
 
@@ -154,7 +154,13 @@
     }
 
     /// Processes a host's report and returns what the host is to do.
-    pub fn hear(&mut self, host: &Name, incarnation: u64, report: &Report, now: Instant) -> Word {
+    pub fn handle_report(
+        &mut self,
+        host: &Name,
+        incarnation: u64,
+        report: &Report,
+        now: Instant,
+    ) -> Instruction {
         let sent = self
             .requests
             .entry((host.clone(), incarnation))
@@ -172,19 +178,19 @@
             self.evidence.add_new(route, tally, now);
         }
         self.advance(now);
-        match self.word() {
-            Word::Canary(_) => Word::Canary(self.deal(recent)),
+        match self.instruction() {
+            Instruction::Canary(_) => Instruction::Canary(self.deal(recent)),
             other => other,
         }
     }
 
     /// Returns what hosts are to do, without the number of requests that each may send as a canary.
     #[must_use]
-    pub fn word(&self) -> Word {
+    pub fn instruction(&self) -> Instruction {
         match &self.phase {
-            Phase::Canary => Word::Canary(0),
+            Phase::Canary => Instruction::Canary(0),
             Phase::Decided { stage, .. } if self.stored_stage == Some(*stage) => {
-                Word::Ended(*stage)
+                Instruction::Ended(*stage)
             }
             // A completion that is not known to be stored may be stored all the same, because the answer to a write
             // can be lost: the old servers may have stopped already. The bound still applies until it is known to be
@@ -193,8 +199,8 @@
             | Phase::Decided {
                 stage: Stage::Completed,
                 ..
-            } if !self.is_spent() => Word::All,
-            Phase::All | Phase::Decided { .. } => Word::Nothing,
+            } if !self.is_spent() => Instruction::All,
+            Phase::All | Phase::Decided { .. } => Instruction::Nothing,
         }
     }
 
@@ -322,7 +328,7 @@
     }
 
     /// Returns the progress to store in the platform next, if any.
-    pub fn step(&mut self, now: Instant) -> Option<Progress> {
+    pub fn progress_to_store(&mut self, now: Instant) -> Option<Progress> {
         self.advance(now);
         let bound = self.canary_bound();
         let progress = match &self.phase {
@@ -353,21 +359,21 @@
     }
 
     /// Records that `progress` is stored in the platform.
-    pub fn kept(&mut self, progress: &Progress) {
+    pub fn record_stored(&mut self, progress: &Progress) {
         self.stored_stage = Some(progress.stage);
         self.allotted = self.allotted.max(progress.allotted);
     }
 
     /// Returns a summary for operators.
     #[must_use]
-    pub fn shown(&self) -> Shown {
+    pub fn summary(&self) -> Summary {
         let (answers, failures) = self.evidence.counts();
         let (phase, why) = match &self.phase {
             Phase::Canary => ("canary", self.evidence.missing().unwrap_or_default()),
             Phase::All => ("all", String::new()),
             Phase::Decided { stage, why } => (stage.text(), why.clone()),
         };
-        Shown {
+        Summary {
             phase,
             why,
             requests: self.total(),
--- a/cypressvane/src/coordination/rollout/said.rs
+++ b/cypressvane/src/coordination/rollout/report.rs
@@ -23,7 +23,7 @@
 
 /// The coordinator's instruction to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Instruction {
     /// Send at most this many requests to the new version until the next report.
     Canary(u64),
     /// Send all requests to the new version.
@@ -36,7 +36,7 @@
 
 /// A summary of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shown {
+pub struct Summary {
     /// `canary`, `all`, `completed` or `rolled_back`.
     pub phase: &'static str,
     /// Why it was decided so, or what evidence is missing.
--- a/cypressvane/src/coordination/rollout/version.rs
+++ b/cypressvane/src/coordination/rollout/version.rs
@@ -11,7 +11,7 @@
 
 /// What a host knows of a service's versions.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Known<'a> {
+pub(crate) struct KnownVersions<'a> {
     /// Number of backend servers of each version in the host list.
     pub(crate) listed: BTreeMap<Name, usize>,
     /// The version that has got the service's traffic until now.
@@ -25,7 +25,7 @@
 /// Servers of a version that no order names get nothing, however many they are. A host that does not know the earlier
 /// version takes the version with the most servers other than the ordered one. If only the ordered version is listed
 /// and the outcome is unknown, the order was completed, because a roll-back leaves the old servers.
-pub(crate) fn serving(known: &Known<'_>) -> Option<Name> {
+pub(crate) fn serving_version(known: &KnownVersions<'_>) -> Option<Name> {
     if let Some((to, Some(Stage::Completed))) = known.ordered {
         return Some(to.clone());
     }
--- a/cypressvane/src/coordination/rollout/version_tests.rs
+++ b/cypressvane/src/coordination/rollout/version_tests.rs
@@ -1,6 +1,6 @@
 //! Tests which version gets a service's traffic, and which servers are canaries.
 
-use super::{Known, canaries, serving};
+use super::{KnownVersions, canaries, serving_version};
 use crate::state::name::Name;
 use crate::state::rollout::Stage;
 
@@ -90,7 +90,7 @@
     for case in CASES {
         let before = case.before.map(Name::from);
         let ordered = case.ordered.map(|(to, stage)| (Name::from(to), stage));
-        let known = Known {
+        let known = KnownVersions {
             listed: case
                 .listed
                 .iter()
@@ -99,7 +99,7 @@
             before: before.as_ref(),
             ordered: ordered.as_ref().map(|(to, stage)| (to, *stage)),
         };
-        let found = serving(&known);
+        let found = serving_version(&known);
         assert_eq!(found.as_deref(), case.serving, "{}", case.name);
     }
 }
--- a/cypressvane/src/coordination/server/health.rs
+++ b/cypressvane/src/coordination/server/health.rs
@@ -123,7 +123,7 @@
     }
 
     /// Takes the server down for a moment because it had no room.
-    pub(crate) fn pause(&mut self, now: Instant) {
+    pub(crate) fn pause_full(&mut self, now: Instant) {
         if matches!(self.state, State::Live | State::Trial) {
             let until = now + FULL_PAUSE;
             self.set(State::Down { until }, now);
--- a/cypressvane/src/coordination/server/mod.rs
+++ b/cypressvane/src/coordination/server/mod.rs
@@ -113,7 +113,7 @@
 
     /// Applies an entry of the host list. At another address there is another process, which starts on trial and
     /// without a limit.
-    pub(crate) fn follow(&mut self, spec: &Spec, now: Instant) {
+    pub(crate) fn apply_list(&mut self, spec: &Spec, now: Instant) {
         self.slots = spec.slots;
         self.data_centre.clone_from(&spec.data_centre);
         self.started_ms = spec.started_ms.or(self.started_ms);
@@ -133,7 +133,7 @@
     }
 
     /// Records the opening of a prompt that the server gets.
-    pub(crate) fn note_opening(&mut self, opening: Option<u64>, now: Instant) {
+    pub(crate) fn record_opening(&mut self, opening: Option<u64>, now: Instant) {
         let Some(opening) = opening else { return };
         if self.openings.len() >= OPENINGS_MAX {
             self.openings.retain(|_, at| is_remembered(*at, now));
@@ -156,7 +156,7 @@
     }
 
     /// Returns the free places that the server's limit allows to be filled now.
-    pub(crate) fn idle_places(&self, now: Instant) -> u32 {
+    pub(crate) fn free_slots(&self, now: Instant) -> u32 {
         let running = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
         let idle = self.slots.saturating_sub(running);
         let allowance = self.pacing.allowance(now).map(whole);
@@ -258,7 +258,7 @@
     /// Counts a request that is granted to the server.
     pub(crate) fn send(&mut self, ticket: Ticket, work: Work, now: Instant) {
         self.pacing.take(now);
-        self.prompts.learn(real(work.prompt_tokens));
+        self.prompts.observe(real(work.prompt_tokens));
         self.add_running(ticket, work, now);
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// Applies the limit that an answer of the server names; `granted_at` is when its request was granted here.
-    pub(crate) fn hear_limit(
+    pub(crate) fn apply_limit(
         &mut self,
         named: Option<f64>,
         granted_at: Option<Instant>,
--- a/cypressvane/src/coordination/server/pacing.rs
+++ b/cypressvane/src/coordination/server/pacing.rs
@@ -136,17 +136,22 @@
     }
 
     /// Applies a limit that another host received some time ago.
-    pub(crate) fn apply_reported(&mut self, reported: &Told, now: Instant) {
+    pub(crate) fn apply_reported(&mut self, reported: &ReportedLimit, now: Instant) {
         if self
             .received_at
-            .is_some_and(|received_at| reported.heard <= received_at)
+            .is_some_and(|received_at| reported.received_at <= received_at)
         {
             return;
         }
         match &self.limit {
-            None => self.start_limit(reported.per_second, &reported.heard_by, reported.heard, now),
+            None => self.start_limit(
+                reported.per_second,
+                &reported.heard_by,
+                reported.received_at,
+                now,
+            ),
             Some(limit) if reported.per_second < limit.per_second => {
-                self.received_at = Some(reported.heard);
+                self.received_at = Some(reported.received_at);
                 self.change_rate(reported.per_second, &reported.heard_by, now);
             }
             Some(_) => {}
@@ -226,11 +231,11 @@
 
 /// A limit as a host reports it to a home that may not know it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ReportedLimit {
     /// Requests per second.
     pub per_second: f64,
     /// When the host received it.
-    pub heard: Instant,
+    pub received_at: Instant,
     /// The host that received it.
     pub heard_by: Name,
 }
--- a/cypressvane/src/coordination/server/pauses.rs
+++ b/cypressvane/src/coordination/server/pauses.rs
@@ -21,14 +21,14 @@
 impl Pauses {
     /// Records the longest pause of a stream during which up to `prompt_tokens` were to be read.
     pub(crate) fn learn(&mut self, prompt_tokens: u64, longest: Duration) {
-        self.by_class[length_class(prompt_tokens)].learn(longest.as_secs_f64());
+        self.by_class[length_class(prompt_tokens)].observe(longest.as_secs_f64());
     }
 
     /// Returns the duration that most streams' pauses stay below while a prompt of `prompt_tokens` is read; `None` if
     /// no pause was recorded for that length class or a shorter one.
     pub(crate) fn likely(&self, prompt_tokens: u64) -> Option<Duration> {
         let up_to = &self.by_class[..=length_class(prompt_tokens)];
-        let nearest = up_to.iter().rev().find_map(Estimate::high)?;
+        let nearest = up_to.iter().rev().find_map(Estimate::upper)?;
         Some(Duration::from_secs_f64(nearest.max(0.0)))
     }
 }
--- a/cypressvane/src/coordination/servers/mod.rs
+++ b/cypressvane/src/coordination/servers/mod.rs
@@ -10,7 +10,7 @@
 use crate::coordination::offer::{Spec, Ticket};
 use crate::coordination::server::Server;
 use crate::coordination::server::health::State;
-use crate::coordination::server::pacing::Told;
+use crate::coordination::server::pacing::ReportedLimit;
 use crate::state::clock::Instant;
 use crate::state::config::Belief;
 use crate::state::name::Name;
@@ -18,7 +18,7 @@
 
 /// A change of a server's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Change {
+pub(crate) struct StateChange {
     pub(crate) server: Name,
     pub(crate) before: &'static str,
     pub(crate) after: &'static str,
@@ -56,11 +56,11 @@
     /// State of each server when it was last recorded.
     states: HashMap<Name, &'static str>,
     /// State changes that were not taken yet.
-    changes: Vec<Change>,
+    changes: Vec<StateChange>,
     /// Changes of limits that were not taken yet.
     limit_changes: Vec<LimitChange>,
     /// Limits of servers that are not in the host list yet.
-    unlisted: HashMap<Name, Told>,
+    unlisted: HashMap<Name, ReportedLimit>,
     /// This home's share of the servers' limits; `None` before it is known.
     share: Option<f64>,
     /// Where the last scan began in a pool that is larger than one scan.
@@ -78,7 +78,7 @@
 
     /// Applies the host list. A server that is no longer listed finishes its requests. Returns the requests that ran
     /// on servers which were restarted.
-    pub(crate) fn follow(&mut self, specs: &[Spec], now: Instant) -> Vec<Ticket> {
+    pub(crate) fn apply_list(&mut self, specs: &[Spec], now: Instant) -> Vec<Ticket> {
         let known: HashMap<&Name, &Spec> = specs.iter().map(|spec| (&spec.name, spec)).collect();
         for server in &mut self.list {
             if !known.contains_key(&server.name) {
@@ -114,7 +114,7 @@
                 before.forget(|_, _| true)
             }
         };
-        server.follow(spec, now);
+        server.apply_list(spec, now);
         if let Some(share) = share {
             server.pacing.set_share(share, now);
         }
@@ -158,7 +158,7 @@
         if let Some(before) = self.states.insert(server.name.clone(), after)
             && before != after
         {
-            self.changes.push(Change {
+            self.changes.push(StateChange {
                 server: server.name.clone(),
                 before,
                 after,
@@ -180,13 +180,13 @@
     }
 
     /// Takes the state changes since the last call.
-    pub(crate) fn take_changes(&mut self) -> Vec<Change> {
+    pub(crate) fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Puts servers whose time down is over on trial, and opens those whose limits allow it.
     pub(crate) fn wake(&mut self, now: Instant) {
-        // The indexes in `unavailable` refer to `list`, which changes only in `follow`, and `follow` rebuilds them.
+        // The indexes in `unavailable` refer to `list`, which changes only in `apply_list`, which also rebuilds them.
         let later = self.unavailable.split_off(&(now, usize::MAX));
         let due = std::mem::replace(&mut self.unavailable, later);
         for (until, index) in due {
@@ -199,29 +199,34 @@
         }
     }
 
-    /// Applies the limit that a server's answer names; `granted_at` is when its request was granted here.
-    pub(crate) fn hear_limit(
+    /// Applies the limit that a server's answer names; `granted` is when its request was granted here.
+    pub(crate) fn apply_limit(
         &mut self,
         name: &Name,
         named: Option<f64>,
-        granted_at: Option<Instant>,
+        granted: Option<Instant>,
         by: &Name,
         now: Instant,
     ) {
-        self.change_limit(name, |server| server.hear_limit(named, granted_at, by, now));
+        self.change_limit(name, |server| server.apply_limit(named, granted, by, now));
     }
 
     /// Applies a limit that a host received some time ago. The server may not be listed yet.
-    pub(crate) fn hear_earlier_limit(&mut self, name: &Name, told: Told, now: Instant) {
+    pub(crate) fn apply_reported_limit(
+        &mut self,
+        name: &Name,
+        reported: ReportedLimit,
+        now: Instant,
+    ) {
         if self.by_name.contains_key(name) {
-            self.change_limit(name, |server| server.pacing.apply_reported(&told, now));
+            self.change_limit(name, |server| server.pacing.apply_reported(&reported, now));
             return;
         }
         if self.unlisted.len() >= UNLISTED_MAX {
             // Some of these servers will never be listed, and it is unknown which.
             self.unlisted.clear();
         }
-        self.unlisted.insert(name.clone(), told);
+        self.unlisted.insert(name.clone(), reported);
     }
 
     /// Changes a server's limit, and records a change of its value.
@@ -253,7 +258,7 @@
     }
 
     /// Sets this home's share of the servers' limits.
-    pub(crate) fn share(&mut self, share: f64, now: Instant) {
+    pub(crate) fn set_limit_share(&mut self, share: f64, now: Instant) {
         if self.share == Some(share) {
             return;
         }
@@ -265,7 +270,7 @@
     }
 
     /// Returns the number of servers that name a limit.
-    pub(crate) fn limited(&self) -> usize {
+    pub(crate) fn limited_count(&self) -> usize {
         let is_limited = |server: &&Server| server.pacing.limit().is_some();
         self.list.iter().filter(is_limited).count()
     }
@@ -340,16 +345,16 @@
     }
 
     /// Returns the free places of live servers that their limits allow to be filled now.
-    pub(crate) fn idle_places(&self, now: Instant) -> u32 {
+    pub(crate) fn free_slots(&self, now: Instant) -> u32 {
         let idle = |server: &Server| match server.health.state {
-            State::Live => server.idle_places(now),
+            State::Live => server.free_slots(now),
             State::Trial | State::Leaving | State::Down { .. } => 0,
         };
         self.list.iter().map(idle).sum()
     }
 
     /// Returns the number of servers that take work.
-    pub(crate) fn working(&self) -> usize {
+    pub(crate) fn working_count(&self) -> usize {
         self.list
             .iter()
             .filter(|server| server.takes_work())
--- a/cypressvane/src/coordination/servers/placement.rs
+++ b/cypressvane/src/coordination/servers/placement.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Servers;
-use crate::coordination::demand::Higher;
+use crate::coordination::demand::HigherDemand;
 use crate::coordination::offer::Offer;
 use crate::coordination::server::health::State;
 use crate::coordination::server::{Server, Work};
@@ -28,12 +28,12 @@
     pub(crate) window: Duration,
     /// The demand of higher tiers. A prompt that is longer than the window gets a server to itself, but only if the
     /// other servers that are soon free can carry the higher tiers.
-    pub(crate) higher: Option<Higher>,
+    pub(crate) higher: Option<HigherDemand>,
 }
 
 /// Preferences of a request, which decide between servers that are otherwise equal.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Likes {
+pub(crate) struct Preferences {
     /// A server that has recently read the opening of the prompt.
     pub(crate) opening: Option<u64>,
     /// A server in the data centre of the request's holder.
@@ -55,15 +55,16 @@
     ///
     /// An offer that is on time goes only to a server on which it stays on time, and no offer goes where it would
     /// make others late, as long as another server of the pool does better.
-    pub(crate) fn place(&mut self, offer: &Offer, now: Instant) -> Option<Choice> {
+    pub(crate) fn choose_on_time(&mut self, offer: &Offer, now: Instant) -> Option<Choice> {
         let first = self.next_scan_start();
         let tokens = u64::from(offer.prompt_tokens);
         let due = offer.due();
-        let (likes, work) = (offer.likes(), offer.work());
+        let (preferences, work) = (offer.preferences(), offer.work());
         // These scan all servers, so they are evaluated only if they matter.
         let any_keeps_pauses_within =
             LazyCell::new(|| self.any_keeps_pauses_within(tokens, offer.pause));
-        let any_answers_by = LazyCell::new(|| self.any_answers_by(&work, offer.whole_by, now));
+        let any_answers_by =
+            LazyCell::new(|| self.any_answers_by(&work, offer.answer_deadline, now));
         self.cheapest(first, |server| {
             let time = server.first_token_in(tokens, now);
             if now + time > due {
@@ -75,12 +76,12 @@
                 return None;
             }
             let ends = server.whole_after(time, &work);
-            if ends.is_some_and(|ends| now + ends > offer.whole_by) && *any_answers_by {
+            if ends.is_some_and(|ends| now + ends > offer.answer_deadline) && *any_answers_by {
                 return None;
             }
-            let mut cost = time + self.extra_cost(server, &likes, now);
+            let mut cost = time + self.extra_cost(server, &preferences, now);
             if offer.avoid.as_ref() == Some(&server.name) {
-                cost += offer.first_token;
+                cost += offer.first_token_target;
             }
             Some((cost, time))
         })
@@ -132,18 +133,18 @@
     }
 
     /// Returns the time to the first token of a prompt on the fastest live server, if that server reads nothing else.
-    pub(crate) fn fastest(&self, prompt_tokens: u64) -> Option<Duration> {
+    pub(crate) fn fastest_first_token(&self, prompt_tokens: u64) -> Option<Duration> {
         self.live()
             .map(|server| server.first_token_when_idle(prompt_tokens))
             .min()
     }
 
     /// Returns the open server with the lowest cost, if `room` lets it have the prompt.
-    pub(crate) fn choose(
+    pub(crate) fn choose_within(
         &mut self,
         prompt_tokens: u64,
         room: &Room,
-        likes: &Likes,
+        preferences: &Preferences,
         now: Instant,
     ) -> Option<Choice> {
         let first = self.next_scan_start();
@@ -157,15 +158,15 @@
                 return None;
             }
             let time = server.first_token_in(prompt_tokens, now);
-            Some((time + self.extra_cost(server, likes, now), time))
+            Some((time + self.extra_cost(server, preferences, now), time))
         })
     }
 
     /// Returns the costs of a server other than time, expressed as time.
-    fn extra_cost(&self, server: &Server, likes: &Likes, now: Instant) -> Duration {
+    fn extra_cost(&self, server: &Server, preferences: &Preferences, now: Instant) -> Duration {
         let is_in_other_data_centre =
-            likes.data_centre.is_some() && server.data_centre != likes.data_centre;
-        let lacks_opening = likes
+            preferences.data_centre.is_some() && server.data_centre != preferences.data_centre;
+        let lacks_opening = preferences
             .opening
             .is_some_and(|opening| !server.has_opening(opening, now));
         let mut cost = Duration::ZERO;
@@ -185,7 +186,7 @@
         };
         let is_soon_free = |server: &&Server| {
             server.available_in(now) == Some(Duration::ZERO)
-                && server.first_token_in(0, now) <= higher.first_token.mul_f64(WINDOW_SHARE)
+                && server.first_token_in(0, now) <= higher.first_token_target.mul_f64(WINDOW_SHARE)
         };
         let available: f64 = self
             .list
@@ -209,7 +210,11 @@
 
     /// Returns the time to the first token on the server where it would come first, including the time that a server
     /// is down; `None` if all servers are leaving.
-    pub(crate) fn soonest(&mut self, prompt_tokens: u64, now: Instant) -> Option<Duration> {
+    pub(crate) fn soonest_first_token(
+        &mut self,
+        prompt_tokens: u64,
+        now: Instant,
+    ) -> Option<Duration> {
         let first = self.next_scan_start();
         let time = |server: &Server| {
             let available = server.available_in(now)?;
--- a/cypressvane/src/coordination/shard.rs
+++ b/cypressvane/src/coordination/shard.rs
@@ -31,7 +31,7 @@
 impl Shard {
     /// The only shard of a service whose pool is not sharded.
     #[must_use]
-    pub fn whole(service: Name) -> Self {
+    pub fn unsharded(service: Name) -> Self {
         Self {
             service,
             number: 0,
@@ -57,7 +57,7 @@
 
     /// Another shard of the same service; `number` wraps around.
     #[must_use]
-    pub fn other(&self, number: u16) -> Self {
+    pub fn sibling(&self, number: u16) -> Self {
         Self {
             number: number % self.count.max(1),
             ..self.clone()
@@ -66,26 +66,26 @@
 
     /// Whether a backend server of the service belongs to this shard.
     #[must_use]
-    pub fn has(&self, server: &str) -> bool {
+    pub fn contains(&self, server: &str) -> bool {
         number_of(server, self.count) == self.number
     }
 }
 
 /// The shards of a service, with the capacity of each.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cut {
+pub struct Sharding {
     service: Name,
     /// Slots of each shard's servers that are not leaving.
     slots: Vec<u64>,
 }
 
-impl Cut {
+impl Sharding {
     /// Divides a service's servers into shards.
     ///
     /// Hosts with the same host list get the same shards. Hosts whose lists differ for a moment may get different ones;
     /// a server then has two homes that do not know each other's grants, as while a home moves.
     #[must_use]
-    pub fn of(service: Name, specs: &[Spec]) -> Self {
+    pub fn new(service: Name, specs: &[Spec]) -> Self {
         let count = specs.len().div_ceil(SERVERS_MAX).next_power_of_two();
         let count = u16::try_from(count).unwrap_or(1 << 15);
         let mut slots = vec![0; count.into()];
--- a/cypressvane/src/coordination/answering.rs
+++ b/cypressvane/src/coordination/silent_shards.rs
@@ -40,24 +40,24 @@
     /// Do nothing yet.
     Wait,
     /// Send the offer again and request an acknowledgement.
-    Ask,
+    RequestAck,
     /// Offer the request to another shard, since the home does not reply.
-    Leave,
+    Reroute,
     /// Send the offer again over another connection, since the only home does not reply.
-    Doubt,
+    Reconnect,
 }
 
 /// Tracks how long an offer has waited for its home.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wait {
+pub(crate) struct OfferTimer {
     state: State,
     /// When the offer was last sent or acknowledged.
     since: Instant,
 }
 
-impl Wait {
+impl OfferTimer {
     /// Starts tracking an offer that is sent now.
-    pub(crate) fn begin(now: Instant) -> Self {
+    pub(crate) fn start(now: Instant) -> Self {
         Self {
             state: State::Sent,
             since: now,
@@ -65,13 +65,13 @@
     }
 
     /// Records the home's acknowledgement that the offer is queued.
-    pub(crate) fn queued(&mut self, now: Instant) {
+    pub(crate) fn note_queued(&mut self, now: Instant) {
         self.state = State::Queued;
         self.since = now;
     }
 
     /// Whether an acknowledgement was requested.
-    pub(crate) fn is_asked(&self) -> bool {
+    pub(crate) fn is_ack_requested(&self) -> bool {
         matches!(self.state, State::AckRequested | State::Reconnected)
     }
 
@@ -88,13 +88,13 @@
         self.since = now;
         if self.state == State::AckRequested {
             if has_others {
-                return Step::Leave;
+                return Step::Reroute;
             }
             self.state = State::Reconnected;
-            return Step::Doubt;
+            return Step::Reconnect;
         }
         self.state = State::AckRequested;
-        Step::Ask
+        Step::RequestAck
     }
 }
 
@@ -107,11 +107,11 @@
 
 /// Shards whose homes did not reply to this host, each excluded with exponential backoff.
 #[derive(Debug, Default)]
-pub(crate) struct Answering {
+pub(crate) struct SilentShards {
     exclusions: HashMap<Shard, Exclusion>,
 }
 
-impl Answering {
+impl SilentShards {
     /// Records that a shard's home did not reply to an offer, and excludes the shard.
     ///
     /// Calls during an exclusion have no effect, so that all offers sent before it count once.
@@ -129,14 +129,14 @@
     }
 
     /// Records a reply of a shard's home to an offer, which ends the exclusion and resets its length.
-    pub(crate) fn note_word(&mut self, shard: &Shard) {
+    pub(crate) fn note_reply(&mut self, shard: &Shard) {
         if !self.exclusions.is_empty() {
             self.exclusions.remove(shard);
         }
     }
 
     /// Whether the shard is excluded at `now`.
-    pub(crate) fn rests(&self, shard: &Shard, now: Instant) -> bool {
+    pub(crate) fn is_excluded(&self, shard: &Shard, now: Instant) -> bool {
         self.exclusions
             .get(shard)
             .is_some_and(|exclusion| now < exclusion.until)
@@ -144,5 +144,5 @@
 }
 
 #[cfg(test)]
-#[path = "answering_tests.rs"]
+#[path = "silent_shards_tests.rs"]
 mod tests;
--- a/cypressvane/src/lib.rs
+++ b/cypressvane/src/lib.rs
@@ -15,17 +15,17 @@
 #![deny(clippy::all, clippy::pedantic, missing_docs, unsafe_code)]
 
 mod coordination;
-#[cfg(test)]
-#[path = "../tests/drawn/mod.rs"]
-mod drawn;
 mod protocol;
+#[cfg(test)]
+#[path = "../tests/seeded/mod.rs"]
+mod seeded;
 mod state;
 mod transport;
 
-pub use crate::coordination::{backoff, budget, lapse, limit, policy, pool, shard};
+pub use crate::coordination::{backoff, budget, limit, policy, pool, retention, shard};
 /// Roll-outs: the operators' orders, the stored progress and the decision logic.
 pub mod rollout {
-    pub use crate::coordination::rollout::{Bounds, Report, Rollout, Shown, Tally, Word};
+    pub use crate::coordination::rollout::{Bounds, Instruction, Report, Rollout, Summary, Tally};
     pub use crate::state::rollout::{Order, Progress, Stage};
 }
 pub use crate::protocol::{dump, events, exchange, prompt, refusal};
--- a/cypressvane/src/protocol/dump.rs
+++ b/cypressvane/src/protocol/dump.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use crate::coordination::dump::{Limit, Pool, Server, Waiting};
-use crate::coordination::rollout::Shown;
+use crate::coordination::rollout::Summary;
 use crate::state::name::Name;
 use crate::state::rollout::Stage;
 
@@ -91,15 +91,15 @@
     pub failures: u64,
 }
 
-impl From<Shown> for Evidence {
-    fn from(shown: Shown) -> Self {
+impl From<Summary> for Evidence {
+    fn from(summary: Summary) -> Self {
         Self {
-            phase: shown.phase.to_owned(),
-            why: shown.why,
-            requests: shown.requests,
-            dealt: shown.dealt,
-            answers: shown.answers,
-            failures: shown.failures,
+            phase: summary.phase.to_owned(),
+            why: summary.why,
+            requests: summary.requests,
+            dealt: summary.dealt,
+            answers: summary.answers,
+            failures: summary.failures,
         }
     }
 }
--- a/cypressvane/src/protocol/message.rs
+++ b/cypressvane/src/protocol/message.rs
@@ -192,7 +192,7 @@
     pub(crate) number: u64,
     /// Version that is being rolled out.
     pub(crate) to: Name,
-    pub(crate) word: rollout::Word,
+    pub(crate) word: rollout::Instruction,
 }
 
 /// Reply of an account's home to a `Charge`.
--- a/cypressvane/src/protocol/message_tests.rs
+++ b/cypressvane/src/protocol/message_tests.rs
@@ -10,8 +10,8 @@
 use crate::coordination::pool;
 use crate::coordination::quarantine::{self, End, Subject};
 use crate::coordination::shard::Shard;
-use crate::drawn;
 use crate::protocol::refusal::Code;
+use crate::seeded;
 use crate::state::clock::Instant;
 use crate::state::fingerprint::{Fingerprint, Identity};
 
@@ -252,7 +252,7 @@
         let _ = unpack(&altered[..at]);
         true
     }
-    drawn::quickcheck()
+    seeded::quickcheck()
         .tests(2000)
         .quickcheck(property as fn(Vec<u8>, usize, u8) -> bool);
 }
--- a/cypressvane/src/transport/accounts.rs
+++ b/cypressvane/src/transport/accounts.rs
@@ -139,8 +139,8 @@
                 "tokens" => tokens,
                 "tokens_per_second" => account.tokens_per_second,
                 "burst_tokens" => account.burst_tokens,
-                "heard" => share.heard,
-                "known" => share.known,
+                "heard" => share.represented,
+                "known" => share.total,
             );
         }
         let home = admitted?;
@@ -225,7 +225,7 @@
         if self.links.home_of(&account.name) != self.me {
             share = share.own();
         }
-        lock(&self.ledger).spend(account, tokens, share, now)
+        lock(&self.ledger).try_take(account, tokens, share, now)
     }
 
     /// Replies to a charge that another host requested; `account` is `None` if the version in force here lacks it.
@@ -298,7 +298,7 @@
     pub(crate) fn rehome(&self, before: &[Name], after: &[Name], now: Instant) {
         let is_here = |account: &Name, hosts| home::of(account, hosts) == Some(&self.me);
         let has_moved = |account: &Name| is_here(account, before) != is_here(account, after);
-        lock(&self.ledger).rehome(has_moved, now);
+        lock(&self.ledger).reset_moved(has_moved, now);
     }
 
     /// Reconnects to homes that have not replied to a charge for long, though its request continued on this host's own
--- a/cypressvane/src/transport/active.rs
+++ b/cypressvane/src/transport/active.rs
@@ -15,7 +15,7 @@
     /// The text of each part by its digest; a part that a later version shares is not read again.
     pub(crate) texts: BTreeMap<String, String>,
     pub(crate) index: Index,
-    pub(crate) policies: policy::Set,
+    pub(crate) policies: policy::Programs,
     /// The encoded bundle for other hosts; made when the first one requests it.
     pub(crate) packed: OnceLock<Vec<u8>>,
 }
@@ -23,7 +23,7 @@
 impl Active {
     /// A version from a configuration source other than the table service.
     pub(crate) fn outside(version: u64, fleet: Fleet) -> Result<Self, policy::Error> {
-        let policies = policy::Set::compile(&fleet)?;
+        let policies = policy::Programs::compile(&fleet)?;
         let record = Record {
             version,
             manifest: String::new(),
--- a/cypressvane/src/transport/admission.rs
+++ b/cypressvane/src/transport/admission.rs
@@ -20,7 +20,7 @@
     facts: &policy::Request,
 ) -> Verdict {
     let Some(policy) = &service.policy else {
-        return Verdict::PLAIN;
+        return Verdict::DEFAULT;
     };
     let queue = node.desk.queue(&node.rollouts.pool(&service.name));
     active
@@ -32,7 +32,7 @@
                 .with_label_values(&[policy])
                 .inc();
             slog::warn!(node.log, "a policy program failed"; "cause" => %error);
-            Verdict::PLAIN
+            Verdict::DEFAULT
         })
 }
 
--- a/cypressvane/src/transport/callers/dispatch.rs
+++ b/cypressvane/src/transport/callers/dispatch.rs
@@ -103,11 +103,13 @@
 ) -> Result<Ready, Refusal> {
     let connect_time = Timeouts::of(node.config.timeouts.connect_ms);
     loop {
-        let remaining = wish.due.saturating_duration_since(Instant::now());
+        let remaining = wish
+            .first_token_deadline
+            .saturating_duration_since(Instant::now());
         let decision = within(remaining + HOME_MARGIN, place.word()).await;
         let grant = match decision {
             // This grant is too late to be used; it is returned when the place is dropped.
-            Some(Word::Grant(_)) if Instant::now() >= wish.due => {
+            Some(Word::Grant(_)) if Instant::now() >= wish.first_token_deadline => {
                 return Err(request.refuse(Reason::deadline_passed()));
             }
             Some(Word::Grant(grant)) => grant,
@@ -177,7 +179,9 @@
     let silence = Timeouts::of(node.config.timeouts.silence_ms);
     trace.sent();
     let dispatched = request.dispatch(Instant::now());
-    let remaining = wish.deadline.saturating_duration_since(dispatched.state.at);
+    let remaining = wish
+        .answer_deadline
+        .saturating_duration_since(dispatched.state.at);
     let mut response = match connection.send(outgoing, silence.min(remaining)).await {
         Ok(response) => response,
         Err(error) => {
@@ -201,11 +205,13 @@
     if stream && response.status().is_success() {
         let limits = relay::Limits {
             silence,
-            deadline: wish.deadline,
+            deadline: wish.answer_deadline,
         };
         return relay::stream(dispatched, response, place, trace, limits, sent);
     }
-    let remaining = wish.deadline.saturating_duration_since(Instant::now());
+    let remaining = wish
+        .answer_deadline
+        .saturating_duration_since(Instant::now());
     let bytes_max = node.config.limits.answer_bytes;
     let body = client::read_whole(address, &mut response, bytes_max, remaining).await;
     match body {
--- a/cypressvane/src/transport/desk/holder.rs
+++ b/cypressvane/src/transport/desk/holder.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::Ordering;
 
 use super::{Desk, Grant, Held, Place, Stage, Wish, Word};
-use crate::coordination::answering::{Step, Wait};
-use crate::coordination::shard::{Cut, Shard};
+use crate::coordination::shard::{Shard, Sharding};
+use crate::coordination::silent_shards::{OfferTimer, Step};
 use crate::protocol::message::{self, Made, Message};
 use crate::protocol::refusal::{Code, Reason};
 use crate::state::clock::Instant;
@@ -31,7 +31,7 @@
             shard,
             moved: false,
             without_server: 0,
-            stage: Stage::Waiting(Wait::begin(now)),
+            stage: Stage::Waiting(OfferTimer::start(now)),
             decisions: sender,
         };
         let offer = held.offer(sequence, now);
@@ -55,14 +55,14 @@
         let marked = wish.mark.filter(|_| !wish.returning);
         let point = marked.map_or_else(fastrand::f64, point_of);
         let listed = self.listed.load();
-        let Some(cut) = listed.cuts.get(&wish.pool) else {
-            return Shard::whole(wish.pool.clone());
+        let Some(sharding) = listed.shardings.get(&wish.pool) else {
+            return Shard::unsharded(wish.pool.clone());
         };
-        if cut.count() == 1 {
-            return cut.pick(point, |_| false);
+        if sharding.count() == 1 {
+            return sharding.pick(point, |_| false);
         }
-        let answering = lock(&self.answering);
-        cut.pick(point, |shard| answering.rests(shard, now))
+        let silent_shards = lock(&self.silent_shards);
+        sharding.pick(point, |shard| silent_shards.is_excluded(shard, now))
     }
 
     /// The home of a shard.
@@ -79,7 +79,7 @@
         grant: Grant,
         now: Instant,
     ) {
-        lock(&self.answering).note_word(shard);
+        lock(&self.silent_shards).note_reply(shard);
         let mut held = lock(&self.held);
         if let Some(held) = held.get_mut(&sequence) {
             match &held.stage {
@@ -118,7 +118,7 @@
             if !matches!(held.stage, Stage::Waiting(_)) {
                 return;
             }
-            lock(&self.answering).note_word(&held.shard);
+            lock(&self.silent_shards).note_reply(&held.shard);
             held.without_server += u16::from(reason.code == Code::NoServer);
             let is_last = held.without_server >= held.shard.count;
             if reason.code != Code::NoServer || is_last {
@@ -126,7 +126,7 @@
                 let _ = held.decisions.try_send(Word::Refuse(reason));
                 return;
             }
-            let shard = held.shard.other(held.shard.number + 1);
+            let shard = held.shard.sibling(held.shard.number + 1);
             held.moved = true;
             held.reassign(&shard, self.home_of(&shard), now);
             (held.home.clone(), held.offer(sequence, now))
@@ -140,9 +140,9 @@
         let Some(held) = held.get_mut(&sequence).filter(|held| held.home == *from) else {
             return;
         };
-        if let Stage::Waiting(wait) = &mut held.stage {
-            wait.queued(now);
-            lock(&self.answering).note_word(&held.shard);
+        if let Stage::Waiting(timer) = &mut held.stage {
+            timer.note_queued(now);
+            lock(&self.silent_shards).note_reply(&held.shard);
         }
     }
 
@@ -156,8 +156,8 @@
             if !matches!(held.stage, Stage::Waiting(_)) {
                 return;
             }
-            lock(&self.answering).note_word(&held.shard);
-            let shard = held.shard.other(to);
+            lock(&self.silent_shards).note_reply(&held.shard);
+            let shard = held.shard.sibling(to);
             held.moved = true;
             held.reassign(&shard, self.home_of(&shard), now);
             (held.home.clone(), held.offer(sequence, now))
@@ -171,14 +171,14 @@
         let mut unanswered = Vec::new();
         let mut doubted_homes = Vec::new();
         for (sequence, held) in lock(&self.held).iter_mut() {
-            let Stage::Waiting(wait) = &mut held.stage else {
+            let Stage::Waiting(timer) = &mut held.stage else {
                 continue;
             };
-            match wait.step(held.shard.has_others(), now) {
+            match timer.step(held.shard.has_others(), now) {
                 Step::Wait => {}
-                Step::Ask => outgoing.push((held.home.clone(), held.offer(*sequence, now))),
-                Step::Leave => unanswered.push(*sequence),
-                Step::Doubt => {
+                Step::RequestAck => outgoing.push((held.home.clone(), held.offer(*sequence, now))),
+                Step::Reroute => unanswered.push(*sequence),
+                Step::Reconnect => {
                     doubted_homes.push(held.home.clone());
                     outgoing.push((held.home.clone(), held.offer(*sequence, now)));
                 }
@@ -212,7 +212,7 @@
             let Some(held) = held.get_mut(&sequence) else {
                 return;
             };
-            lock(&self.answering).note_silence(&held.shard, now);
+            lock(&self.silent_shards).note_silence(&held.shard, now);
             self.doubt(&held.home, now);
             let shard = self.shard_for(&held.wish, now);
             slog::info!(
@@ -236,10 +236,10 @@
         let listed = self.listed.load();
         let mut outgoing = Vec::new();
         for (sequence, held) in lock(&self.held).iter_mut() {
-            let cut = listed.cuts.get(&held.wish.pool);
-            let shard = match cut.filter(|cut| cut.count() != held.shard.count) {
+            let sharding = listed.shardings.get(&held.wish.pool);
+            let shard = match sharding.filter(|sharding| sharding.count() != held.shard.count) {
                 None => held.shard.clone(),
-                Some(cut) => self.reassigned_shard(cut, held, now),
+                Some(sharding) => self.reassigned_shard(sharding, held, now),
             };
             let home = self.home_of(&shard);
             if home == held.home && shard == held.shard {
@@ -293,9 +293,9 @@
     }
 
     /// The new shard of a request after the number of shards of its pool has changed.
-    fn reassigned_shard(&self, cut: &Cut, held: &Held, now: Instant) -> Shard {
+    fn reassigned_shard(&self, sharding: &Sharding, held: &Held, now: Instant) -> Shard {
         match &held.stage {
-            Stage::Granted { server, .. } => cut.shard_of(server),
+            Stage::Granted { server, .. } => sharding.shard_of(server),
             Stage::Waiting(_) => self.shard_for(&held.wish, now),
         }
     }
@@ -306,7 +306,7 @@
     pub(super) fn offer(&self, sequence: u64, now: Instant) -> Message {
         let wish = &self.wish;
         let made = match self.stage {
-            Stage::Waiting(wait) if wait.is_asked() => Made::Again,
+            Stage::Waiting(timer) if timer.is_ack_requested() => Made::Again,
             _ if self.moved => Made::Moved,
             _ => Made::First,
         };
@@ -318,11 +318,11 @@
             priority: wish.priority,
             prompt_tokens: wish.prompt_tokens,
             waited_ms: millis(now.saturating_duration_since(wish.arrived)),
-            left_ms: millis(wish.due.saturating_duration_since(now)),
-            first_token_ms: millis(wish.first_token),
+            left_ms: millis(wish.first_token_deadline.saturating_duration_since(now)),
+            first_token_ms: millis(wish.first_token_target),
             pause_ms: millis(wish.pause),
             answer_tokens: wish.answer_tokens,
-            whole_ms: millis(wish.deadline.saturating_duration_since(now)),
+            whole_ms: millis(wish.answer_deadline.saturating_duration_since(now)),
             avoid: wish.avoid.clone(),
             early: wish.early,
             returning: wish.returning,
@@ -350,8 +350,8 @@
     /// Assigns this request to a shard and its home; returns the previous home.
     pub(super) fn reassign(&mut self, shard: &Shard, home: Name, now: Instant) -> Name {
         self.shard = shard.clone();
-        if let Stage::Waiting(wait) = &mut self.stage {
-            *wait = Wait::begin(now);
+        if let Stage::Waiting(timer) = &mut self.stage {
+            *timer = OfferTimer::start(now);
         }
         std::mem::replace(&mut self.home, home)
     }
--- a/cypressvane/src/transport/desk/homes.rs
+++ b/cypressvane/src/transport/desk/homes.rs
@@ -9,7 +9,7 @@
 use super::{Desk, Grant};
 use crate::coordination::policy::Queue;
 use crate::coordination::pool::{Action, Offer, Pool, Spec};
-use crate::coordination::shard::{Cut, Shard};
+use crate::coordination::shard::{Shard, Sharding};
 use crate::protocol::dump;
 use crate::protocol::message::{Made, Message};
 use crate::state::clock::Instant;
@@ -93,7 +93,7 @@
             // A new pool has no queue, so there is nothing to grant.
             let now = Instant::now();
             pool.set_servers(&specs, now);
-            pool.share(self.links.share(now).part(), now);
+            pool.set_limit_share(self.links.share(now).part(), now);
             Arc::new(Mutex::new(LocalPool {
                 pool,
                 tally: Tally::default(),
@@ -165,7 +165,7 @@
 
     /// Creates the pools whose home this host is, so that it reports their idle places before the first offer.
     pub(super) fn create_home_pools(&self, listed: &Listed) {
-        let shards = listed.cuts.values().flat_map(Cut::shards);
+        let shards = listed.shardings.values().flat_map(Sharding::shards);
         for shard in shards.filter(|shard| self.home_of(shard) == self.me) {
             self.pool(&shard);
         }
@@ -174,8 +174,8 @@
     /// Drops empty pools of shards that no longer exist because the number of shards has changed.
     fn drop_obsolete(&self, listed: &Listed) {
         lock(&self.pools).retain(|shard, local| {
-            let cut = listed.cuts.get(&shard.service);
-            let is_current = cut.is_none_or(|cut| cut.count() == shard.count);
+            let sharding = listed.shardings.get(&shard.service);
+            let is_current = sharding.is_none_or(|sharding| sharding.count() == shard.count);
             let local = &lock(local).pool;
             is_current || local.waiting() > 0 || local.running() > 0
         });
@@ -227,7 +227,7 @@
 
     /// Refuses requests that are too late, and grants to servers that take work again.
     pub(crate) fn tick(&self, now: Instant) {
-        lock(&self.lag).turn(now);
+        lock(&self.lag).record_run(now);
         for shard in self.shards() {
             self.update_pool(&shard, |pool| pool.tick(now));
         }
@@ -250,7 +250,7 @@
 
     /// Recent scheduling delay of this host.
     pub(crate) fn lag(&self, now: Instant) -> Duration {
-        lock(&self.lag).recent(now)
+        lock(&self.lag).longest(now)
     }
 
     /// Logs the recent decisions of the pools kept here, more often while this host lags.
--- a/cypressvane/src/transport/desk/limits.rs
+++ b/cypressvane/src/transport/desk/limits.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::{Desk, Place, Stage};
-use crate::coordination::pool::{Action, Pool, Ticket, Told};
+use crate::coordination::pool::{Action, Pool, ReportedLimit, Ticket};
 use crate::coordination::shard::Shard;
 use crate::protocol::exchange::Limit;
 use crate::protocol::message::{self, Message};
@@ -168,10 +168,10 @@
         self.update_cached_limits(|cached| {
             cached.retain(|server, limit| is_listed(server, limit));
             for (server, limit) in cached.iter_mut() {
-                let Some(cut) = listed.cuts.get(&limit.pool) else {
+                let Some(sharding) = listed.shardings.get(&limit.pool) else {
                     continue;
                 };
-                let shard = cut.shard_of(server);
+                let shard = sharding.shard_of(server);
                 let home = self.home_of(&shard);
                 if home == limit.reported_to && !may_lack(&home) {
                     continue;
@@ -197,7 +197,7 @@
     pub(crate) fn share_limits(&self, now: Instant) {
         let part = self.links.share(now).part();
         for shard in self.shards() {
-            self.update_pool(&shard, |pool| pool.share(part, now));
+            self.update_pool(&shard, |pool| pool.set_limit_share(part, now));
         }
     }
 
@@ -207,7 +207,7 @@
         let own = local
             .iter()
             .filter(|(shard, _)| self.home_of(shard) == self.me);
-        own.map(|(_, local)| lock(local).pool.limited()).sum()
+        own.map(|(_, local)| lock(local).pool.limited_count()).sum()
     }
 }
 
@@ -224,15 +224,15 @@
         message::Heard::Now {
             sequence,
             per_second,
-        } => pool.hear_limit(&ticket(sequence), server, per_second, now),
+        } => pool.apply_limit(&ticket(sequence), server, per_second, now),
         message::Heard::Earlier { per_second, ago_ms } => {
             let ago = Duration::from_millis(ago_ms);
-            let told = Told {
+            let reported = ReportedLimit {
                 per_second,
-                heard: now.checked_sub(ago).unwrap_or(now),
+                received_at: now.checked_sub(ago).unwrap_or(now),
                 heard_by: from.clone(),
             };
-            pool.hear_earlier_limit(server, told, now)
+            pool.apply_reported_limit(server, reported, now)
         }
     }
 }
--- a/cypressvane/src/transport/desk/listed.rs
+++ b/cypressvane/src/transport/desk/listed.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::coordination::pool::Spec;
-use crate::coordination::shard::{Cut, Shard};
+use crate::coordination::shard::{Shard, Sharding};
 use crate::state::name::Name;
 
 /// The servers of each pool.
@@ -13,16 +13,16 @@
 #[derive(Debug, Default)]
 pub(super) struct Listed {
     pub(super) specs: Specs,
-    pub(super) cuts: HashMap<Name, Cut>,
+    pub(super) shardings: HashMap<Name, Sharding>,
 }
 
 impl Listed {
     pub(super) fn of(specs: Specs) -> Self {
-        let cut = |(service, specs): (&Name, &Vec<Spec>)| {
-            (service.clone(), Cut::of(service.clone(), specs))
+        let sharding = |(service, specs): (&Name, &Vec<Spec>)| {
+            (service.clone(), Sharding::new(service.clone(), specs))
         };
-        let cuts = specs.iter().map(cut).collect();
-        Self { specs, cuts }
+        let shardings = specs.iter().map(sharding).collect();
+        Self { specs, shardings }
     }
 
     /// The servers of a shard.
@@ -31,15 +31,16 @@
             .specs
             .get(&shard.service)
             .map_or(&[][..], Vec::as_slice);
-        let own = specs.iter().filter(|spec| shard.has(&spec.name));
+        let own = specs.iter().filter(|spec| shard.contains(&spec.name));
         own.cloned().collect()
     }
 
     /// Whether each pool has the same number of shards in both lists.
     pub(super) fn has_same_shard_counts(&self, other: &Self) -> bool {
         let counts = |listed: &Self| -> HashMap<Name, u16> {
-            let cuts = listed.cuts.iter();
-            cuts.map(|(service, cut)| (service.clone(), cut.count()))
+            let shardings = listed.shardings.iter();
+            shardings
+                .map(|(service, sharding)| (service.clone(), sharding.count()))
                 .collect()
         };
         counts(self) == counts(other)
--- a/cypressvane/src/transport/desk/mod.rs
+++ b/cypressvane/src/transport/desk/mod.rs
@@ -22,11 +22,11 @@
 use async_channel::Sender;
 use slog::Logger;
 
-use crate::coordination::answering::{Answering, Wait};
 use crate::coordination::idle::Idle;
 use crate::coordination::lag::Lag;
 use crate::coordination::pool::{self, Belief, Ticket};
 use crate::coordination::shard::Shard;
+use crate::coordination::silent_shards::{OfferTimer, SilentShards};
 use crate::protocol::message::{self, Message};
 use crate::protocol::refusal::Reason;
 use crate::state::clock::Instant;
@@ -77,10 +77,10 @@
     pub(crate) prompt_tokens: u32,
     pub(crate) arrived: Instant,
     /// When the whole answer is due.
-    pub(crate) deadline: Instant,
+    pub(crate) answer_deadline: Instant,
     /// When a first token stops being useful.
-    pub(crate) due: Instant,
-    pub(crate) first_token: Duration,
+    pub(crate) first_token_deadline: Instant,
+    pub(crate) first_token_target: Duration,
     /// Longest pause between two events of the answer that is on time; zero if there is no bound.
     pub(crate) pause: Duration,
     /// Estimated tokens of the answer; 0 if unknown.
@@ -99,7 +99,7 @@
 
 #[derive(Debug)]
 enum Stage {
-    Waiting(Wait),
+    Waiting(OfferTimer),
     Granted {
         server: Name,
         prefilled: bool,
@@ -136,7 +136,7 @@
     pools: Mutex<HashMap<Shard, Arc<Mutex<LocalPool>>>>,
     listed: ArcSwap<Listed>,
     /// Shards whose homes leave offers unanswered.
-    answering: Mutex<Answering>,
+    silent_shards: Mutex<SilentShards>,
     /// Idle places that other shards have reported.
     idle: Mutex<Idle>,
     /// When the homes last got a report of running requests.
@@ -168,12 +168,12 @@
             held: Mutex::new(HashMap::new()),
             pools: Mutex::new(HashMap::new()),
             listed: ArcSwap::default(),
-            answering: Mutex::default(),
+            silent_shards: Mutex::default(),
             idle: Mutex::default(),
             reconciled_at: Mutex::default(),
             reported_running: Mutex::default(),
             departed: Mutex::default(),
-            lag: Mutex::new(Lag::of(TICK)),
+            lag: Mutex::new(Lag::new(TICK)),
             cached_limits: Mutex::default(),
             cached_limit_count: AtomicUsize::new(0),
             malformed_logged_at: Mutex::default(),
@@ -208,7 +208,7 @@
                 self.update_pool(&shard, |pool| pool.withdraw(&ticket(sequence), now));
             }
             Message::FirstToken { shard, sequence } => {
-                self.update_pool(&shard, |pool| pool.first_token(&ticket(sequence), now));
+                self.update_pool(&shard, |pool| pool.note_first_token(&ticket(sequence), now));
             }
             Message::Finish {
                 shard,
@@ -218,7 +218,7 @@
             } => {
                 self.update_pool(&shard, |pool| {
                     if let Some(longest) = pause_ms {
-                        pool.paused(&ticket(sequence), Duration::from_millis(longest));
+                        pool.note_longest_pause(&ticket(sequence), Duration::from_millis(longest));
                     }
                     pool.finish(&ticket(sequence), end, now)
                 });
@@ -305,11 +305,11 @@
         priority: offer.priority,
         prompt_tokens: offer.prompt_tokens,
         arrived: now.checked_sub(waited).unwrap_or(now),
-        deadline: now + Duration::from_millis(offer.left_ms),
-        first_token: Duration::from_millis(offer.first_token_ms),
+        first_token_deadline: now + Duration::from_millis(offer.left_ms),
+        first_token_target: Duration::from_millis(offer.first_token_ms),
         pause: Duration::from_millis(offer.pause_ms),
         answer_tokens: offer.answer_tokens,
-        whole_by: now + Duration::from_millis(offer.whole_ms),
+        answer_deadline: now + Duration::from_millis(offer.whole_ms),
         avoid: offer.avoid,
         early: offer.early,
         returning: offer.returning,
--- a/cypressvane/src/transport/desk/moves.rs
+++ b/cypressvane/src/transport/desk/moves.rs
@@ -29,8 +29,8 @@
         }
         let local = self.pool(shard);
         let mut local = lock(&local);
-        let has_place = !local.pool.is_crowded() && !self.is_lagging(now);
-        if has_place || local.pool.knows(ticket) {
+        let has_place = !local.pool.is_saturated() && !self.is_lagging(now);
+        if has_place || local.pool.contains(ticket) {
             return None;
         }
         let to = lock(&self.idle).take(shard, now)?;
@@ -46,11 +46,11 @@
             if !shard.has_others() || self.home_of(&shard) != self.me {
                 continue;
             }
-            let idle = lock(&local).pool.idle_places(now);
+            let idle = lock(&local).pool.free_slots(now);
             let places = if is_lagging { 0 } else { idle };
             let reports = (shard.count - 1).min(IDLE_REPORTS_MAX);
             for step in 1..=reports {
-                let home = self.home_of(&shard.other(shard.number + step));
+                let home = self.home_of(&shard.sibling(shard.number + step));
                 let shard = shard.clone();
                 self.send(&home, Message::Idle { shard, places }, now);
             }
@@ -59,7 +59,7 @@
 
     /// Records the idle places that the home of another shard reports.
     pub(super) fn handle_idle(&self, shard: Shard, places: u32, now: Instant) {
-        lock(&self.idle).hear(shard, places, now);
+        lock(&self.idle).record_report(shard, places, now);
     }
 
     /// Whether this host lags so much that another home decides sooner.
--- a/cypressvane/src/transport/desk/place.rs
+++ b/cypressvane/src/transport/desk/place.rs
@@ -6,8 +6,8 @@
 use async_channel::Receiver;
 
 use super::{Desk, Stage, Word};
-use crate::coordination::answering::Wait;
 use crate::coordination::pool::End;
+use crate::coordination::silent_shards::OfferTimer;
 use crate::protocol::message::Message;
 use crate::state::clock::Instant;
 use crate::state::name::Name;
@@ -46,8 +46,8 @@
 
     /// Returns the grant with the outcome `end`, and offers the request again.
     ///
-    /// With `due`, the request waits until then and counts as one that a server has failed; otherwise the deadline
-    /// stays.
+    /// With `due`, the request waits until then and counts as one that a server has failed; otherwise its first-token
+    /// deadline stays.
     pub(crate) fn again(&mut self, end: End, due: Option<Instant>) {
         let now = Instant::now();
         let pause_ms = self.longest_pause.take().map(millis);
@@ -63,12 +63,12 @@
                 end,
                 pause_ms,
             };
-            let stage = std::mem::replace(&mut held.stage, Stage::Waiting(Wait::begin(now)));
+            let stage = std::mem::replace(&mut held.stage, Stage::Waiting(OfferTimer::start(now)));
             if let Stage::Granted { server, .. } = stage {
                 held.wish.avoid = Some(server);
             }
             if let Some(due) = due {
-                held.wish.due = due;
+                held.wish.first_token_deadline = due;
                 held.wish.returning = true;
             }
             held.moved = false;
--- a/cypressvane/src/transport/gateway/admission.rs
+++ b/cypressvane/src/transport/gateway/admission.rs
@@ -200,12 +200,12 @@
         priority: priority_with_route(priority, active, matched.route, matched.account),
         prompt_tokens: facts.prompt_tokens,
         arrived,
-        deadline: arrived + allowed,
+        answer_deadline: arrived + allowed,
         // The home refuses a request earlier if it is not likely to be on time.
-        due: arrived
+        first_token_deadline: arrived
             + stream_silence(node, matched.route).map_or(allowed, |silence| silence.min(allowed)),
         answer_tokens: answer_tokens(ask),
-        first_token: matched.route.objective(),
+        first_token_target: matched.route.objective(),
         pause: Duration::from_millis(matched.route.gap_ms),
         early: true,
         returning: false,
--- a/cypressvane/src/transport/gateway/evidence.rs
+++ b/cypressvane/src/transport/gateway/evidence.rs
@@ -100,7 +100,7 @@
     /// suspended: the caller's deadline and the lease of its key run on during that time.
     pub(super) fn check_sendable(&self) -> Result<(), Reason> {
         let now = Instant::now();
-        if now >= self.wish.due {
+        if now >= self.wish.first_token_deadline {
             return Err(timed_out());
         }
         if self.inbound.account.is_some() && !self.node.knows_keys(now) {
--- a/cypressvane/src/transport/gateway/exchange.rs
+++ b/cypressvane/src/transport/gateway/exchange.rs
@@ -197,8 +197,9 @@
         if retry.is_ok() {
             self.switch_pool();
             let wait = self.contract.objective * RETRY_OBJECTIVES;
-            self.wish.due = self.wish.deadline.min(now + wait);
-            self.place.again(failure.end, Some(self.wish.due));
+            self.wish.first_token_deadline = self.wish.answer_deadline.min(now + wait);
+            self.place
+                .again(failure.end, Some(self.wish.first_token_deadline));
             return Ok(match failure.not_run {
                 Some(proof) => request.returned(proof),
                 None => request.repeat(),
@@ -224,7 +225,7 @@
             Err("method")
         } else if self.attempts >= self.contract.max_attempts {
             Err("attempts")
-        } else if now >= self.wish.deadline {
+        } else if now >= self.wish.answer_deadline {
             Err("deadline")
         } else if self.quarantine_refusal().is_some() {
             Err("quarantine")
@@ -239,11 +240,16 @@
     async fn wait(&mut self) -> Result<Ready, Reason> {
         let connect_time = Timeouts::of(self.node.config.timeouts.connect_ms);
         loop {
-            let left = self.wish.due.saturating_duration_since(Instant::now());
+            let left = self
+                .wish
+                .first_token_deadline
+                .saturating_duration_since(Instant::now());
             let decision = within(left + HOME_MARGIN, self.place.word()).await;
             let grant = match decision {
                 // This grant is too late to be used; it is returned when the place is dropped.
-                Some(Word::Grant(_)) if Instant::now() >= self.wish.due => return Err(timed_out()),
+                Some(Word::Grant(_)) if Instant::now() >= self.wish.first_token_deadline => {
+                    return Err(timed_out());
+                }
                 Some(Word::Grant(grant)) => grant,
                 Some(Word::Refuse(_)) if self.switch_pool() => {
                     self.place.again(End::Unused, None);
@@ -338,7 +344,9 @@
 
     /// Time left until the whole answer is due.
     pub(super) fn time_left(&self) -> Duration {
-        self.wish.deadline.saturating_duration_since(Instant::now())
+        self.wish
+            .answer_deadline
+            .saturating_duration_since(Instant::now())
     }
 
     /// Time that a server may stay silent: until the whole answer is due, or less if the caller of a silent stream
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -127,7 +127,7 @@
             active: ArcSwapOption::empty(),
             initialized: async_channel::bounded(1),
             install_lock: Mutex::new(()),
-            budget: Mutex::new(Budget::open(Instant::now())),
+            budget: Mutex::new(Budget::new(Instant::now())),
             lease: Mutex::new(Lease::new(config.platform.key_lease())),
             listed: ArcSwap::default(),
             source_lost: Mutex::new(None),
@@ -221,14 +221,14 @@
 
     /// Takes a retry on another server from the service's budget; returns whether the budget had one.
     pub(crate) fn may_repeat(&self, service: &Name, now: Instant) -> bool {
-        lock(&self.budget).repeat(service, &self.retry_bounds(), now)
+        lock(&self.budget).take_retry(service, &self.retry_bounds(), now)
     }
 
     /// Sets the number of hosts that share the retry budget, once the host list has been read.
     pub(crate) fn share_budget(&self, now: Instant) {
         if self.links.has_roster() {
             let bounds = self.retry_bounds();
-            lock(&self.budget).shared_by(self.links.known(), &bounds, now);
+            lock(&self.budget).set_host_count(self.links.known(), &bounds, now);
         }
     }
 
--- a/cypressvane/src/transport/operators/submit.rs
+++ b/cypressvane/src/transport/operators/submit.rs
@@ -34,7 +34,7 @@
     base: Option<u64>,
 ) -> Result<Record, Reason> {
     let fleet = Fleet::parse(text).map_err(|error| rejected(&error))?;
-    policy::Set::compile(&fleet).map_err(|error| rejected(&error))?;
+    policy::Programs::compile(&fleet).map_err(|error| rejected(&error))?;
     // A host with an old version would lose every race, so it catches up first.
     follow::advance(node)
         .await
--- a/cypressvane/src/transport/peers/links/mod.rs
+++ b/cypressvane/src/transport/peers/links/mod.rs
@@ -329,13 +329,13 @@
             // If no host reaches the platform, a few still try for all, rather than every host.
             return reaching.len() + self.place_among_known(subject);
         }
-        home::place(subject, &reaching, &self.me.name)
+        home::position(subject, &reaching, &self.me.name)
     }
 
     /// The same rank among all known hosts, whether they may be homes or not.
     pub(crate) fn place_among_known(&self, subject: &str) -> usize {
         let known: Vec<Name> = self.peers.load().keys().cloned().collect();
-        home::place(subject, &known, &self.me.name)
+        home::position(subject, &known, &self.me.name)
     }
 
     /// Queues a message for every other host.
@@ -353,8 +353,8 @@
             .filter(|link| link.has_received_within(self.suspect_after(), now));
         let heard = u32::try_from(heard.count() + 1).unwrap_or(u32::MAX);
         Share {
-            heard,
-            known: self.known(),
+            represented: heard,
+            total: self.known(),
         }
     }
 
--- a/cypressvane/src/transport/peers/links/silence_tests.rs
+++ b/cypressvane/src/transport/peers/links/silence_tests.rs
@@ -100,7 +100,7 @@
         links.stood_still(Duration::from_millis(case.suspended_ms), resumed);
         let now = resumed + Duration::from_millis(case.silent_ms);
         links.refresh(now);
-        assert_eq!(links.share(now).heard, case.heard, "{}", case.name);
+        assert_eq!(links.share(now).represented, case.heard, "{}", case.name);
         let removed = links.silent_for(silent, now).len();
         assert_eq!(removed, case.removed, "{}", case.name);
     }
--- a/cypressvane/src/transport/platform/install.rs
+++ b/cypressvane/src/transport/platform/install.rs
@@ -46,7 +46,7 @@
 fn derive(bundle: Bundle) -> Result<Active, Error> {
     let fleet = bundle.manifest.join(&bundle.texts)?;
     fleet.check()?;
-    let policies = policy::Set::compile(&fleet)?;
+    let policies = policy::Programs::compile(&fleet)?;
     Ok(Active {
         record: bundle.record,
         manifest: bundle.manifest,
--- a/cypressvane/src/transport/platform/roster.rs
+++ b/cypressvane/src/transport/platform/roster.rs
@@ -6,8 +6,8 @@
 
 use async_channel::Receiver;
 
-use crate::coordination::lapse::Lapse;
 use crate::coordination::pool::Spec;
+use crate::coordination::retention::Retention;
 use crate::protocol::message::Message;
 use crate::state::clock::Instant;
 use crate::state::name::Name;
@@ -29,7 +29,7 @@
 /// Number of hosts that announce changes to the others, so that two may fail at once. With eight of them, these
 /// messages were a quarter of the traffic between hosts of different data centres.
 const ANNOUNCERS: usize = 3;
-/// How long announcements of changes mention that the platform has become available again: longer than lapsed entries
+/// How long announcements of changes mention that the platform has become available again: longer than expired entries
 /// are kept after that.
 const RETURN_ANNOUNCED_FOR: Duration = Duration::from_secs(10);
 /// Time after its start in which a host expects its links to connect: 294 of them took 4 s on hosts with 0.12 of a core
@@ -46,14 +46,14 @@
     let mut last: Vec<Entry> = Vec::new();
     let mut last_tag = None;
     let mut last_version = 0;
-    let mut lapse = Lapse::default();
+    let mut retention = Retention::default();
     let mut is_unavailable = false;
     let mut entered_at = None;
     let mut last_returns = None;
     loop {
         let mut pause = node.roster.rest();
         let region = node.config.host.region.clone();
-        let read_timeout = lapse.ends().map_or(READ_TIMEOUT, |end| {
+        let read_timeout = retention.next_expiry().map_or(READ_TIMEOUT, |end| {
             READ_TIMEOUT.min(end.saturating_duration_since(Instant::now()))
         });
         let listing = within(
@@ -98,7 +98,7 @@
             last_returns = returns;
             node.note_returns(node.roster.returns());
         }
-        let entries = lapse.merge(listed.clone(), node.platform_back(), Instant::now());
+        let entries = retention.merge(listed.clone(), node.platform_back(), Instant::now());
         let is_read = last_tag.is_some() || !entries.is_empty();
         let changed = is_read && (entries != last || !node.links.has_roster());
         last = entries;
--- a/cypressvane/src/transport/platform/source.rs
+++ b/cypressvane/src/transport/platform/source.rs
@@ -9,7 +9,7 @@
 use super::fetch;
 use super::install::{Error, activate_external};
 use crate::coordination::backoff::Backoff;
-use crate::coordination::rest::{Answered, Rest};
+use crate::coordination::retry_delay::{LastAnswers, RetryDelay};
 use crate::state::clock::Instant;
 use crate::state::platform::Source;
 use crate::transport::node::Node;
@@ -75,11 +75,11 @@
         let has_changed = node.note_source(polled.is_ok(), Instant::now());
         match polled {
             Ok(()) if has_changed => {
-                backoff.answered();
+                backoff.reset();
                 node.note_platform_back(Instant::now());
                 slog::info!(node.log, "the configuration is followed again"; "version" => node.version());
             }
-            Ok(()) => backoff.answered(),
+            Ok(()) => backoff.reset(),
             Err(error) => {
                 node.note_platform_failure("configuration");
                 if has_changed {
@@ -88,7 +88,7 @@
                     );
                 }
                 let for_all = node.links.place_among_known(CONFIGURATION_SUBJECT) < POLLERS;
-                back_off(node, source, backoff.failed(for_all)).await;
+                back_off(node, source, backoff.next_delay(for_all)).await;
             }
         }
     }
@@ -96,13 +96,13 @@
 
 /// Waits for up to `length` after a failed poll. Answers of the platform to this host or to others shorten the wait.
 async fn back_off(node: &Node, source: &dyn Source, length: Duration) {
-    let answered = || Answered {
+    let answered = || LastAnswers {
         here: source.answered(),
         elsewhere: node.answered_elsewhere(),
     };
-    let rest = Rest::begin(length, answered(), Instant::now());
+    let delay = RetryDelay::begin(length, answered(), Instant::now());
     loop {
-        let left = rest.left(answered(), Instant::now());
+        let left = delay.remaining(answered(), Instant::now());
         if left.is_zero() {
             return;
         }
--- a/cypressvane/src/transport/quarantine/keeper.rs
+++ b/cypressvane/src/transport/quarantine/keeper.rs
@@ -60,7 +60,7 @@
         let mut backoff = Backoff::new(WRITE_INTERVAL);
         while let Err(failure) = write(&node).await {
             log_failure(&node, &failure);
-            Timer::after(backoff.failed(false)).await;
+            Timer::after(backoff.next_delay(false)).await;
         }
         Timer::after(WRITE_INTERVAL).await;
     }
@@ -75,7 +75,7 @@
         if matches!(failure, Failure::Row(_)) {
             break;
         }
-        Timer::after(backoff.failed(false)).await;
+        Timer::after(backoff.next_delay(false)).await;
     }
 }
 
--- a/cypressvane/src/transport/quarantine/mod.rs
+++ b/cypressvane/src/transport/quarantine/mod.rs
@@ -15,7 +15,9 @@
 use async_channel::{Receiver, Sender};
 use slog::Logger;
 
-use crate::coordination::quarantine::{self, Bounds, Cleared, End, Ruling, Shown, Subject};
+use crate::coordination::quarantine::{
+    self, AnswerOutcome, Bounds, End, EndOutcome, Ruling, Subject,
+};
 use crate::protocol::dump;
 use crate::protocol::message::{self, Message};
 use crate::protocol::refusal::{Code, Reason};
@@ -67,7 +69,7 @@
     pub(crate) fn new(config: &config::Quarantine, links: Arc<Links>, log: Logger) -> Self {
         let bounds = Bounds {
             ends: usize::try_from(config.ends).ok().filter(|ends| *ends > 0),
-            kept: Duration::from_millis(config.kept_ms),
+            retention: Duration::from_millis(config.kept_ms),
         };
         Self {
             links,
@@ -98,7 +100,7 @@
             return None;
         }
         let fingerprint = fingerprint();
-        let holds = lock(&self.known).holds(&fingerprint, Instant::now());
+        let holds = lock(&self.known).is_quarantined(&fingerprint, Instant::now());
         holds.then(|| {
             let message = format!(
                 "backend servers ended under this request; operators know it as {fingerprint}"
@@ -130,16 +132,16 @@
         };
         let message = message::Ended::new(ended.fingerprint, &subject, &end, now);
         self.links.broadcast(&Message::Ended(message));
-        let shown = self.update(|known| known.ended(ended.fingerprint, &subject, end, now));
+        let outcome = self.update(|known| known.ended(ended.fingerprint, &subject, end, now));
         slog::info!(
             self.log, "a server ended under a request";
             "request_id" => ended.request_id, "fingerprint" => %ended.fingerprint,
             "server" => &**ended.server, "account" => subject.account.as_deref(),
             "path" => &*subject.path, "ran_ms" => millis_since(ended.sent, now),
-            "ends" => match &shown { Shown::Suspect(ends) => Some(*ends), _ => None },
+            "ends" => match &outcome { EndOutcome::Suspect(ends) => Some(*ends), _ => None },
         );
-        if let Shown::Settled(ruling) = shown {
-            self.log_settled(&ruling, None);
+        if let EndOutcome::Quarantined(ruling) = outcome {
+            self.log_quarantined(&ruling, None);
             self.publish(ruling, now);
         }
     }
@@ -148,9 +150,9 @@
     pub(crate) fn hear_ended(&self, from: &Name, message: message::Ended, now: Instant) {
         let fingerprint = message.fingerprint;
         let (subject, end) = message.heard(now);
-        let shown = self.update(|known| known.ended(fingerprint, &subject, end, now));
-        if let Shown::Settled(ruling) = shown {
-            self.log_settled(&ruling, Some(from));
+        let outcome = self.update(|known| known.ended(fingerprint, &subject, end, now));
+        if let EndOutcome::Quarantined(ruling) = outcome {
+            self.log_quarantined(&ruling, Some(from));
             self.schedule_write_if_elected();
         }
     }
@@ -162,9 +164,9 @@
         }
         let fingerprint = fingerprint();
         match self.update(|known| known.answered(&fingerprint, now)) {
-            Cleared::Nothing => {}
-            Cleared::Suspicion => self.links.broadcast(&Message::Answered { fingerprint }),
-            Cleared::Ruling(ruling) => {
+            AnswerOutcome::Nothing => {}
+            AnswerOutcome::Suspicion => self.links.broadcast(&Message::Answered { fingerprint }),
+            AnswerOutcome::Ruling(ruling) => {
                 self.log_released(&ruling, "answered whole");
                 self.publish(ruling, now);
             }
@@ -174,7 +176,7 @@
     /// Records that another host's request was answered completely.
     pub(crate) fn hear_answered(&self, fingerprint: &Fingerprint, now: Instant) {
         // The other host sends a changed ruling in a message of its own.
-        self.update(|known| known.forgive(fingerprint, now));
+        self.update(|known| known.clear(fingerprint, now));
     }
 
     /// Releases a request from the quarantine for an operator; `None` if it is not quarantined.
@@ -191,10 +193,10 @@
         let mut is_news = false;
         for ruling in rulings {
             let ruling = ruling.heard(now);
-            if self.update(|known| known.hear(ruling.clone(), now)) {
+            if self.update(|known| known.merge(ruling.clone(), now)) {
                 is_news = true;
-                if ruling.holds() {
-                    self.log_settled(&ruling, Some(from));
+                if ruling.is_quarantined() {
+                    self.log_quarantined(&ruling, Some(from));
                 } else {
                     self.log_released(&ruling, from);
                 }
@@ -224,7 +226,7 @@
     pub(crate) fn list(&self, now: Instant) -> Vec<dump::Quarantined> {
         let known = lock(&self.known);
         let rulings = known.rulings();
-        let kept = rulings.iter().filter(|ruling| ruling.holds());
+        let kept = rulings.iter().filter(|ruling| ruling.is_quarantined());
         let kept = kept.map(|ruling| dump::Quarantined {
             fingerprint: ruling.fingerprint.to_string(),
             account: ruling.subject.account.clone(),
@@ -241,7 +243,7 @@
                 path: suspect.subject.path.clone(),
                 kept: false,
                 servers: suspect.servers(),
-                since_ms: suspect.last().map_or(0, |last| millis_since(last, now)),
+                since_ms: suspect.last_end().map_or(0, |last| millis_since(last, now)),
             });
         kept.chain(suspects).collect()
     }
@@ -261,7 +263,7 @@
     fn update<T>(&self, update: impl FnOnce(&mut quarantine::Quarantine) -> T) -> T {
         let mut known = lock(&self.known);
         let changed = update(&mut known);
-        self.is_empty.store(known.is_calm(), Ordering::Relaxed);
+        self.is_empty.store(known.is_empty(), Ordering::Relaxed);
         self.links.tell_rulings(known.digest());
         changed
     }
@@ -304,7 +306,7 @@
         is_due
     }
 
-    fn log_settled(&self, ruling: &Ruling, from: Option<&str>) {
+    fn log_quarantined(&self, ruling: &Ruling, from: Option<&str>) {
         slog::warn!(
             self.log, "a request is kept from the servers, which end under it";
             "fingerprint" => %ruling.fingerprint, "account" => ruling.subject.account.as_deref(),
--- a/cypressvane/src/transport/rollout/coordinator.rs
+++ b/cypressvane/src/transport/rollout/coordinator.rs
@@ -6,7 +6,7 @@
 use smol::Timer;
 
 use super::{Rollouts, coordinator_subject};
-use crate::coordination::rollout::{Report, Rollout, Shown, Word};
+use crate::coordination::rollout::{Instruction, Report, Rollout, Summary};
 use crate::protocol::message::{Message, RolloutWord};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
@@ -25,7 +25,7 @@
 pub(super) struct Coordinated {
     rollout: Rollout,
     /// The last instruction that was sent to all hosts; permits, which differ by host, are not part of it.
-    last_sent: Option<Word>,
+    last_sent: Option<Instruction>,
 }
 
 impl Coordinated {
@@ -38,11 +38,11 @@
     }
 
     pub(super) fn forget_kept(&mut self) {
-        self.rollout.forget_kept();
+        self.rollout.forget_stored();
     }
 
-    pub(super) fn shown(&self) -> Shown {
-        self.rollout.shown()
+    pub(super) fn summary(&self) -> Summary {
+        self.rollout.summary()
     }
 }
 
@@ -158,7 +158,7 @@
         slog::info!(
             self.log, "this host coordinates a roll-out";
             "service" => &*order.service, "to" => &*order.to, "number" => order.number,
-            "phase" => rollout.shown().phase, "dealt" => rollout.shown().dealt,
+            "phase" => rollout.summary().phase, "dealt" => rollout.summary().dealt,
         );
         let coordinated = Coordinated {
             rollout,
@@ -170,8 +170,8 @@
     /// How an order ended, if this host knows.
     fn known_stage(&self, order: &Order) -> Option<Stage> {
         match self.known_end(&order.service, order.number)? {
-            Word::Ended(stage) => Some(stage),
-            Word::Canary(_) | Word::All | Word::Nothing => None,
+            Instruction::Ended(stage) => Some(stage),
+            Instruction::Canary(_) | Instruction::All | Instruction::Nothing => None,
         }
     }
 
@@ -198,12 +198,15 @@
 
     /// The progress of a service's order to be stored next.
     fn next_progress(&self, service: &Name, now: Instant) -> Option<Progress> {
-        lock(&self.coordinated).get_mut(service)?.rollout.step(now)
+        lock(&self.coordinated)
+            .get_mut(service)?
+            .rollout
+            .progress_to_store(now)
     }
 
     fn note_stored(&self, service: &Name, progress: &Progress) {
         if let Some(own) = lock(&self.coordinated).get_mut(service) {
-            own.rollout.kept(progress);
+            own.rollout.record_stored(progress);
         }
     }
 
@@ -221,7 +224,7 @@
             let mut coordinated = lock(&self.coordinated);
             let own = coordinated.get_mut(service);
             own.filter(|own| own.number() == number)
-                .map(|own| own.rollout.hear(from, incarnation, report, now))
+                .map(|own| own.rollout.handle_report(from, incarnation, report, now))
         };
         let Some(word) = word.or_else(|| self.known_end(service, number)) else {
             return;
@@ -244,12 +247,12 @@
     }
 
     /// The final instruction of an order, if this host knows how the order ended.
-    fn known_end(&self, service: &Name, number: u64) -> Option<Word> {
+    fn known_end(&self, service: &Name, number: u64) -> Option<Instruction> {
         let versions = lock(&self.versions);
         let known = versions.get(service)?;
         let order = known.order.as_ref()?;
         let stage = known.stage.filter(|_| order.number == number)?;
-        Some(Word::Ended(stage))
+        Some(Instruction::Ended(stage))
     }
 
     fn ordered_version(&self, service: &Name, number: u64) -> Option<Name> {
@@ -265,17 +268,17 @@
             let Some(own) = coordinated.get_mut(service) else {
                 return;
             };
-            let word = own.rollout.word();
+            let word = own.rollout.instruction();
             if own.last_sent == Some(word) {
                 return;
             }
             own.last_sent = Some(word);
-            let shown = own.rollout.shown();
+            let summary = own.rollout.summary();
             slog::info!(
                 self.log, "a roll-out goes on";
-                "service" => &**service, "to" => &*own.rollout.order().to, "phase" => shown.phase,
-                "why" => shown.why, "requests" => shown.requests, "dealt" => shown.dealt,
-                "answers" => shown.answers, "failures" => shown.failures,
+                "service" => &**service, "to" => &*own.rollout.order().to, "phase" => summary.phase,
+                "why" => summary.why, "requests" => summary.requests, "dealt" => summary.dealt,
+                "answers" => summary.answers, "failures" => summary.failures,
             );
             RolloutWord {
                 service: service.clone(),
@@ -284,7 +287,7 @@
                 word,
             }
         };
-        if matches!(instruction.word, Word::Canary(_)) {
+        if matches!(instruction.word, Instruction::Canary(_)) {
             return;
         }
         self.links
--- a/cypressvane/src/transport/rollout/known.rs
+++ b/cypressvane/src/transport/rollout/known.rs
@@ -7,7 +7,7 @@
 
 use super::way::Canary;
 use super::{Rollouts, pool_of};
-use crate::coordination::rollout::version::{self, Known};
+use crate::coordination::rollout::version::{self, KnownVersions};
 use crate::protocol::message::RolloutWord;
 use crate::state::name::Name;
 use crate::state::platform::Entry;
@@ -130,7 +130,7 @@
     /// Updates a service's routing from what is known of its versions.
     fn update_routing(&self, service: &Name, known: &mut Versions) {
         let ordered = known.order.as_ref().map(|order| (&order.to, known.stage));
-        let serving = version::serving(&Known {
+        let serving = version::serving_version(&KnownVersions {
             listed: known.listed.clone(),
             before: known.serving.as_ref(),
             ordered,
--- a/cypressvane/src/transport/rollout/mod.rs
+++ b/cypressvane/src/transport/rollout/mod.rs
@@ -18,7 +18,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use slog::Logger;
 
-use crate::coordination::rollout::{Bounds, Word};
+use crate::coordination::rollout::{Bounds, Instruction};
 use crate::protocol::dump;
 use crate::protocol::message::{Message, RolloutWord};
 use crate::state::clock::Instant;
@@ -213,7 +213,7 @@
         if is_older {
             return false;
         }
-        if let Word::Ended(stage) = instruction.word {
+        if let Instruction::Ended(stage) = instruction.word {
             return self.note_end(known, instruction, stage);
         }
         let canary = self.routing(&instruction.service).canary.load_full();
@@ -232,9 +232,9 @@
         let listed = versions.iter().filter_map(|(service, known)| {
             let order = known.order.as_ref()?;
             let own = coordinated.get(service);
-            let shown = own
+            let summary = own
                 .filter(|own| own.number() == order.number)
-                .map(Coordinated::shown);
+                .map(Coordinated::summary);
             Some(dump::Rollout {
                 service: service.clone(),
                 from: known.serving.clone(),
@@ -242,7 +242,7 @@
                 number: order.number,
                 stage: known.stage.unwrap_or(Stage::InProgress),
                 coordinator: self.links.home_of(&coordinator_subject(service)),
-                evidence: shown.map(dump::Evidence::from),
+                evidence: summary.map(dump::Evidence::from),
             })
         });
         listed.collect()
--- a/cypressvane/src/transport/rollout/way.rs
+++ b/cypressvane/src/transport/rollout/way.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::coordination::rollout::{Report, Tally, Word};
+use crate::coordination::rollout::{Instruction, Report, Tally};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 use crate::state::rollout::Order;
@@ -72,15 +72,20 @@
     }
 
     /// Applies the coordinator's instruction; returns whether that changes the servers that may get requests.
-    pub(super) fn apply_word(&self, word: Word, report_interval: Duration, now: Instant) -> bool {
+    pub(super) fn apply_word(
+        &self,
+        word: Instruction,
+        report_interval: Duration,
+        now: Instant,
+    ) -> bool {
         let permits = match word {
-            Word::Canary(permits) => permits,
-            Word::All | Word::Nothing | Word::Ended(_) => 0,
+            Instruction::Canary(permits) => permits,
+            Instruction::All | Instruction::Nothing | Instruction::Ended(_) => 0,
         };
         self.permits.store(permits, Ordering::Relaxed);
         let until = self.age_ms(now + report_interval * VALID_REPORTS);
         self.valid_until_ms.store(until, Ordering::Relaxed);
-        let all = word == Word::All;
+        let all = word == Instruction::All;
         self.all.swap(all, Ordering::Relaxed) != all
     }
 
--- a/cypressvane/tests/budget.rs
+++ b/cypressvane/tests/budget.rs
@@ -5,7 +5,7 @@
 //! after nine tenths of a window. An earlier test checked only nine tenths of the window; over the whole window that
 //! code fails on each run.
 
-mod drawn;
+mod seeded;
 
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
         let now = Instant::now();
         let mut fleet = Self {
             now,
-            hosts: (0..hosts).map(|_| Budget::open(now)).collect(),
+            hosts: (0..hosts).map(|_| Budget::new(now)).collect(),
             requests: Vec::new(),
             retries: Vec::new(),
         };
@@ -69,7 +69,7 @@
     fn update_host_counts(&mut self) {
         let known = u32::try_from(self.hosts.len()).expect("few hosts");
         for host in &mut self.hosts {
-            host.shared_by(known, &BOUNDS, self.now);
+            host.set_host_count(known, &BOUNDS, self.now);
         }
     }
 
@@ -85,17 +85,17 @@
                 self.requests.push(self.now);
             }
             Event::Retry => {
-                if self.hosts[at].repeat(&service, &BOUNDS, self.now) {
+                if self.hosts[at].take_retry(&service, &BOUNDS, self.now) {
                     self.retries.push(self.now);
                     return self.is_kept();
                 }
             }
-            Event::Restart => self.hosts[at] = Budget::open(self.now),
+            Event::Restart => self.hosts[at] = Budget::new(self.now),
             Event::Leave if self.hosts.len() > 1 => {
                 self.hosts.remove(at);
             }
             Event::Leave => {}
-            Event::Join => self.hosts.push(Budget::open(self.now)),
+            Event::Join => self.hosts.push(Budget::new(self.now)),
         }
         true
     }
@@ -158,7 +158,7 @@
     for events in found {
         assert!(one_host_keeps_the_budget(events), "{events:?}");
     }
-    drawn::quickcheck().quickcheck(property as fn(Vec<(bool, u8)>) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(Vec<(bool, u8)>) -> bool);
 }
 
 #[test]
@@ -177,7 +177,7 @@
             fleet.apply(at.into(), event)
         })
     }
-    drawn::quickcheck().quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
 #[test]
@@ -232,12 +232,12 @@
     for case in cases {
         let opened = Instant::now();
         let now = opened + case.up;
-        let mut budget = Budget::open(opened);
+        let mut budget = Budget::new(opened);
         for (seconds_ago, hosts) in case.known {
             let at = now - Duration::from_secs(*seconds_ago);
-            budget.shared_by(*hosts, &BOUNDS, at);
+            budget.set_host_count(*hosts, &BOUNDS, at);
         }
-        let attempts = (0..10).filter(|_| budget.repeat(&"desk".into(), &BOUNDS, now));
+        let attempts = (0..10).filter(|_| budget.take_retry(&"desk".into(), &BOUNDS, now));
         assert_eq!(attempts.count(), case.retries, "{}", case.name);
     }
 }
--- a/cypressvane/tests/exchange.rs
+++ b/cypressvane/tests/exchange.rs
@@ -1,6 +1,6 @@
 //! Route look-up, event splitting and header parsing.
 
-mod drawn;
+mod seeded;
 
 use std::time::Duration;
 
@@ -113,7 +113,7 @@
             .collect();
         ids == [Some(1), Some(2), None, Some(9)] && joined == whole && (cutter.rest() > 0) == tail
     }
-    drawn::quickcheck().quickcheck(property as fn(Vec<u8>, bool) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(Vec<u8>, bool) -> bool);
 }
 
 fn headers(lines: &[(&'static str, &'static str)]) -> HeaderMap {
--- a/cypressvane/tests/fleet.rs
+++ b/cypressvane/tests/fleet.rs
@@ -2,7 +2,7 @@
 //!
 //! A validation error names the entry, the value found and what is allowed.
 
-mod drawn;
+mod seeded;
 
 use cypressvane::digest;
 use cypressvane::fleet::{Fleet, Index};
@@ -197,7 +197,7 @@
             .sort_by(|one, other| one.name.cmp(&other.name));
         joined == fleet
     }
-    drawn::quickcheck().quickcheck(property as fn(Names) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(Names) -> bool);
 }
 
 #[test]
@@ -237,5 +237,5 @@
         let after = Cut::new(&fleet_with(&after)).manifest;
         before.with(&after.changes_from(&before)) == after
     }
-    drawn::quickcheck().quickcheck(property as fn(Names, Names) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(Names, Names) -> bool);
 }
--- a/cypressvane/tests/limit.rs
+++ b/cypressvane/tests/limit.rs
@@ -1,6 +1,6 @@
 //! The limits of client accounts, with a simulated clock.
 
-mod drawn;
+mod seeded;
 
 use std::time::Duration;
 
@@ -9,7 +9,10 @@
 use cypressvane::limit::{InFlight, Ledger, Over, Share, Tolerance};
 
 /// The share of a host that is the only one.
-const ALONE: Share = Share { heard: 1, known: 1 };
+const ALONE: Share = Share {
+    represented: 1,
+    total: 1,
+};
 
 fn account() -> Account {
     Account {
@@ -62,7 +65,10 @@
                 requests_per_second: Some(14),
                 ..account()
             },
-            share: Share { heard: 1, known: 7 },
+            share: Share {
+                represented: 1,
+                total: 7,
+            },
             requests: &[(0, 1, true), (0, 1, true), (0, 1, false)],
         },
         Case {
@@ -71,7 +77,10 @@
                 tokens_per_second: Some(1_000),
                 ..account()
             },
-            share: Share { heard: 2, known: 2 },
+            share: Share {
+                represented: 2,
+                total: 2,
+            },
             requests: &[(0, 900, true), (0, 200, true), (0, 1, false)],
         },
         Case {
@@ -80,7 +89,10 @@
                 tokens_per_second: Some(1_000),
                 ..account()
             },
-            share: Share { heard: 1, known: 2 },
+            share: Share {
+                represented: 1,
+                total: 2,
+            },
             requests: &[(0, 500, true), (0, 1, false), (500, 200, true)],
         },
         Case {
@@ -103,7 +115,7 @@
         let mut ledger = Ledger::new(None, begin);
         for (index, (millis, tokens, admitted)) in case.requests.iter().enumerate() {
             let now = begin + Duration::from_millis(*millis);
-            let result = ledger.spend(&case.account, *tokens, case.share, now);
+            let result = ledger.try_take(&case.account, *tokens, case.share, now);
             assert_eq!(
                 result.is_ok(),
                 *admitted,
@@ -205,19 +217,19 @@
         let begin = Instant::now();
         let mut ledger = Ledger::new(None, begin);
         for _ in 0..before {
-            let _ = ledger.spend(&account, 1, ALONE, begin);
+            let _ = ledger.try_take(&account, 1, ALONE, begin);
         }
-        match ledger.spend(&account, 1, ALONE, begin) {
+        match ledger.try_take(&account, 1, ALONE, begin) {
             Ok(()) => true,
             // A microsecond covers the rounding of durations.
             Err(Over::Requests(wait)) => {
                 let later = begin + wait + Duration::from_micros(1);
-                ledger.spend(&account, 1, ALONE, later).is_ok()
+                ledger.try_take(&account, 1, ALONE, later).is_ok()
             }
             Err(_) => false,
         }
     }
-    drawn::quickcheck().quickcheck(property as fn(u8, u8) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(u8, u8) -> bool);
 }
 
 #[test]
@@ -230,7 +242,7 @@
         ..account()
     };
     let mut ledger = Ledger::new(None, begin);
-    let mut spend = |name, at| ledger.spend(&limited(name), 1, ALONE, at);
+    let mut spend = |name, at| ledger.try_take(&limited(name), 1, ALONE, at);
     spend("idle", begin).expect("within the limit");
     spend("busy", begin).expect("within the limit");
     spend("busy", later).expect("within the limit");
@@ -322,11 +334,11 @@
             let now = begin + Duration::from_millis(*millis);
             match *step {
                 Spend(tokens, admitted) => {
-                    let found = ledger.spend(&account, tokens, ALONE, now);
+                    let found = ledger.try_take(&account, tokens, ALONE, now);
                     assert_eq!(found.is_ok(), admitted, "{}: step {index}", case.name);
                 }
                 Debit(tokens) => ledger.debit(&account, tokens, ALONE, now),
-                Rehome(moved) => ledger.rehome(|_| moved, now),
+                Rehome(moved) => ledger.reset_moved(|_| moved, now),
             }
         }
     }
@@ -357,11 +369,14 @@
                 home = 1 - home;
                 ledgers
                     .iter_mut()
-                    .for_each(|ledger| ledger.rehome(|_| true, now));
+                    .for_each(|ledger| ledger.reset_moved(|_| true, now));
             }
             let tokens = u32::from(tokens) % largest;
-            let share = Share { heard: 2, known: 2 };
-            if ledgers[home].spend(&account, tokens, share, now).is_ok() {
+            let share = Share {
+                represented: 2,
+                total: 2,
+            };
+            if ledgers[home].try_take(&account, tokens, share, now).is_ok() {
                 admitted.push((now, tokens));
             }
             let recent = admitted
@@ -372,7 +387,7 @@
             f64::from(in_window) <= limit
         })
     }
-    drawn::quickcheck().quickcheck(property as fn(Vec<(u8, u16, bool)>) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(Vec<(u8, u16, bool)>) -> bool);
 }
 
 #[test]
@@ -404,11 +419,11 @@
         let now = Instant::now();
         let mut ledger = Ledger::new(None, now);
         let (tokens, sent) = case.first;
-        assert_eq!(ledger.spend(&account, tokens, ALONE, now), Ok(()));
+        assert_eq!(ledger.try_take(&account, tokens, ALONE, now), Ok(()));
         if !sent {
             ledger.give_back(&account, tokens, ALONE, now);
         }
-        let second = ledger.spend(&account, 300, ALONE, now);
+        let second = ledger.try_take(&account, 300, ALONE, now);
         assert_eq!(second.is_ok(), case.second, "{}: {second:?}", case.name);
     }
     // Tokens returned twice do not raise the level above the size of the bucket.
@@ -416,6 +431,6 @@
     let mut ledger = Ledger::new(None, now);
     ledger.give_back(&account, 1_000, ALONE, now);
     ledger.give_back(&account, 1_000, ALONE, now);
-    assert_eq!(ledger.spend(&account, 100, ALONE, now), Ok(()));
-    assert!(ledger.spend(&account, 1, ALONE, now).is_err());
+    assert_eq!(ledger.try_take(&account, 100, ALONE, now), Ok(()));
+    assert!(ledger.try_take(&account, 1, ALONE, now).is_err());
 }
--- a/cypressvane/tests/limit_shares.rs
+++ b/cypressvane/tests/limit_shares.rs
@@ -32,8 +32,8 @@
     for hosts in [1, 2, 7, 87, 295] {
         let began = Instant::now();
         let share = Share {
-            heard: 1,
-            known: hosts,
+            represented: 1,
+            total: hosts,
         };
         let mut ledger = Ledger::new(Some(tolerance), began);
         // All hosts behave alike, so one stands for each.
@@ -41,7 +41,7 @@
             .map(|step| {
                 let now = began + Duration::from_millis(STEP_MS * step);
                 let mut tokens = 0;
-                while ledger.spend(&account, REQUEST, share, now).is_ok() {
+                while ledger.try_take(&account, REQUEST, share, now).is_ok() {
                     tokens += u64::from(REQUEST);
                 }
                 tokens * u64::from(hosts)
--- a/cypressvane/tests/policy.rs
+++ b/cypressvane/tests/policy.rs
@@ -1,10 +1,10 @@
 //! Decisions of policy programs, and rejection of invalid, endless and oversized ones.
 
-mod drawn;
+mod seeded;
 
 use cypressvane::fleet::{Fleet, Policy};
 use cypressvane::name::Name;
-use cypressvane::policy::{Error, Queue, Request, Set, Verdict};
+use cypressvane::policy::{Error, Programs, Queue, Request, Verdict};
 
 fn request() -> Request {
     Request {
@@ -20,12 +20,12 @@
     }
 }
 
-fn compile(program: &str) -> Result<Set, Error> {
+fn compile(program: &str) -> Result<Programs, Error> {
     let policies = vec![Policy {
         name: "p".into(),
         program: program.to_owned(),
     }];
-    Set::compile(&Fleet {
+    Programs::compile(&Fleet {
         policies,
         ..Fleet::default()
     })
@@ -140,5 +140,5 @@
         let _ = compile(&format!("fn decide(request, queue) {{ {text} }}"));
         true
     }
-    drawn::quickcheck().quickcheck(property as fn(String) -> bool);
+    seeded::quickcheck().quickcheck(property as fn(String) -> bool);
 }
--- a/cypressvane/tests/pool/common.rs
+++ b/cypressvane/tests/pool/common.rs
@@ -25,11 +25,11 @@
         priority: 0,
         prompt_tokens,
         arrived: now,
-        deadline,
-        first_token: Duration::from_millis(460),
+        first_token_deadline: deadline,
+        first_token_target: Duration::from_millis(460),
         pause: Duration::ZERO,
         answer_tokens: 0,
-        whole_by: deadline,
+        answer_deadline: deadline,
         avoid: None,
         early: false,
         returning: false,
@@ -45,9 +45,9 @@
     let deadline = now + Duration::from_secs(15);
     Offer {
         priority,
-        deadline,
-        first_token: Duration::from_millis(800),
-        whole_by: deadline,
+        first_token_deadline: deadline,
+        first_token_target: Duration::from_millis(800),
+        answer_deadline: deadline,
         early: true,
         mark: Some(sequence),
         ..patient_offer(sequence, 0, 100, now)
--- a/cypressvane/tests/pool/early.rs
+++ b/cypressvane/tests/pool/early.rs
@@ -29,7 +29,7 @@
             [sequence]
         );
         now += Duration::from_millis(100);
-        pool.first_token(&ticket(sequence), now);
+        pool.note_first_token(&ticket(sequence), now);
         pool.finish(&ticket(sequence), End::Whole, now);
     }
     now
--- a/cypressvane/tests/pool/limited_load.rs
+++ b/cypressvane/tests/pool/limited_load.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
-use cypressvane::pool::{Action, End, Told};
+use cypressvane::pool::{Action, End, ReportedLimit};
 use quickcheck::{Arbitrary, Gen, TestResult};
 
 use crate::common::{granted, impatient_offer, pool_with_free_slots as pool, spec, ticket};
-use crate::drawn;
+use crate::seeded;
 
 const TICK: Duration = Duration::from_millis(20);
 /// Time after which an advertised limit must be kept.
@@ -104,7 +104,7 @@
         let begin = Instant::now();
         let count = u16::try_from(self.servers.len()).expect("few servers");
         let mut home = pool(count, begin);
-        let mut last_reports: BTreeMap<usize, Told> = BTreeMap::new();
+        let mut last_reports: BTreeMap<usize, ReportedLimit> = BTreeMap::new();
         let mut running: Vec<(Duration, u64, usize)> = Vec::new();
         let mut observed: BTreeMap<usize, Observation> = BTreeMap::new();
         let (mut due_requests, mut sequence) = (0.0, 0);
@@ -116,7 +116,7 @@
             if self.moves_ms.iter().any(|ms| is_move(&ms)) {
                 home = pool(count, now);
                 for (server, report) in &last_reports {
-                    home.hear_earlier_limit(&name(*server), report.clone(), now);
+                    home.apply_reported_limit(&name(*server), report.clone(), now);
                 }
             }
             let mut actions = home.tick(now);
@@ -135,9 +135,9 @@
                     });
                 match advertised {
                     Some(per_second) => {
-                        let report = Told {
+                        let report = ReportedLimit {
                             per_second,
-                            heard: now,
+                            received_at: now,
                             heard_by: "host-0".into(),
                         };
                         last_reports.insert(server, report);
@@ -146,7 +146,7 @@
                         last_reports.remove(&server);
                     }
                 }
-                actions.extend(home.hear_limit(&ticket(sequence), &name(server), advertised, now));
+                actions.extend(home.apply_limit(&ticket(sequence), &name(server), advertised, now));
                 actions.extend(home.finish(&ticket(sequence), End::Whole, now));
             }
             due_requests += self.requests_per_second * TICK.as_secs_f64();
@@ -221,7 +221,7 @@
     fn holds(load: Load) -> TestResult {
         check(&load).map_or_else(TestResult::error, |()| TestResult::passed())
     }
-    drawn::quickcheck()
+    seeded::quickcheck()
         .tests(200)
         .quickcheck(holds as fn(Load) -> TestResult);
 }
@@ -261,14 +261,14 @@
 fn two_homes_that_hear_from_half_of_the_hosts_each_keep_the_limit_together() {
     let mut now = Instant::now();
     let mut homes = [pool(1, now), pool(1, now)];
-    let report = Told {
+    let report = ReportedLimit {
         per_second: 6.0,
-        heard: now,
+        received_at: now,
         heard_by: "host-0".into(),
     };
     for home in &mut homes {
-        home.share(0.5, now);
-        home.hear_earlier_limit(&name(0), report.clone(), now);
+        home.set_limit_share(0.5, now);
+        home.apply_reported_limit(&name(0), report.clone(), now);
     }
     let (begin, mut moments) = (now, Vec::new());
     for sequence in 0..400 {
--- a/cypressvane/tests/pool/limits.rs
+++ b/cypressvane/tests/pool/limits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
-use cypressvane::pool::{Action, End, Told};
+use cypressvane::pool::{Action, End, ReportedLimit};
 
 use crate::common::{
     granted, granted_server, grants_and_refusals, impatient_offer, patient_offer,
@@ -278,7 +278,7 @@
             Offer(sequence) => pool.offer(patient_offer(*sequence, 0, 100, now), now),
             Advertise(sequence, advertised) => {
                 now += Duration::from_millis(1);
-                pool.hear_limit(&ticket(*sequence), &server.name, *advertised, now)
+                pool.apply_limit(&ticket(*sequence), &server.name, *advertised, now)
             }
             Finish(sequence) => pool.finish(&ticket(*sequence), End::Whole, now),
             Adopt(sequence) => {
@@ -286,12 +286,12 @@
                 Vec::new()
             }
             Report(per_second, ago) => {
-                let report = Told {
+                let report = ReportedLimit {
                     per_second: *per_second,
-                    heard: now.checked_sub(Duration::from_millis(*ago)).unwrap_or(now),
+                    received_at: now.checked_sub(Duration::from_millis(*ago)).unwrap_or(now),
                     heard_by: "host-1".into(),
                 };
-                pool.hear_earlier_limit(&server.name, report, now)
+                pool.apply_reported_limit(&server.name, report, now)
             }
             ChangeAddress => {
                 let mut moved = spec(0, 50);
@@ -299,7 +299,7 @@
                 pool.set_servers(&[moved], now)
             }
             AddServer => pool.set_servers(std::slice::from_ref(&server), now),
-            SetPart(part) => pool.share(*part, now),
+            SetPart(part) => pool.set_limit_share(*part, now),
             ExpectGranted(expected) => {
                 if granted_so_far != *expected {
                     return Err(granted_so_far);
@@ -317,7 +317,7 @@
     let mut now = Instant::now();
     let mut pool = pool(1, now);
     pool.offer(patient_offer(0, 0, 100, now), now);
-    pool.hear_limit(&ticket(0), &spec(0, 50).name, Some(2.0), now);
+    pool.apply_limit(&ticket(0), &spec(0, 50).name, Some(2.0), now);
     for (sequence, rank) in [(1, 2), (2, 1), (3, 0)] {
         pool.offer(patient_offer(sequence, rank, 100, now), now);
     }
@@ -335,7 +335,7 @@
     let mut pool = pool(2, now);
     let first = pool.offer(impatient_offer(0, 0, now), now);
     let limited = granted_server(&first).expect("a server").into();
-    pool.hear_limit(&ticket(0), &limited, Some(1.0), now);
+    pool.apply_limit(&ticket(0), &limited, Some(1.0), now);
     for sequence in 1..=40 {
         now += Duration::from_millis(50);
         let actions = pool.offer(impatient_offer(sequence, 0, now), now);
@@ -349,7 +349,7 @@
     let mut now = Instant::now();
     let mut pool = pool(1, now);
     pool.offer(impatient_offer(0, 0, now), now);
-    pool.hear_limit(&ticket(0), &spec(0, 50).name, Some(5.0), now);
+    pool.apply_limit(&ticket(0), &spec(0, 50).name, Some(5.0), now);
     let (mut served, mut refused) = (0, Vec::new());
     for sequence in 1..=100 {
         now += Duration::from_millis(50);
@@ -380,9 +380,9 @@
     let mut now = Instant::now();
     let mut pool = pool(1, now);
     pool.offer(patient_offer(0, 0, 100, now), now);
-    pool.hear_limit(&ticket(0), &spec(0, 50).name, Some(0.5), now);
+    pool.apply_limit(&ticket(0), &spec(0, 50).name, Some(0.5), now);
     let mut last = patient_offer(1, 0, 100, now);
-    last.deadline = now + Duration::from_millis(500);
+    last.first_token_deadline = now + Duration::from_millis(500);
     let (granted, refused) = grants_and_refusals(pool.offer(last, now));
     assert!(granted.is_empty(), "{granted:?}");
     // At 0.5 requests/s its turn comes in 2 s, after its deadline.
--- a/cypressvane/tests/pool/load.rs
+++ b/cypressvane/tests/pool/load.rs
@@ -83,11 +83,11 @@
             let long = ticket(short + 1);
             pool.adopt(long.clone(), &name.as_str().into(), LONG, false, now);
             let first = now + (engine.first_ms + PROMPT / engine.prefill_per_ms) * MILLISECOND;
-            pool.first_token(&ticket(short), first);
+            pool.note_first_token(&ticket(short), first);
             let read = first + (LONG / engine.prefill_per_ms) * MILLISECOND;
-            pool.first_token(&long, read);
+            pool.note_first_token(&long, read);
             pool.finish(&long, End::Whole, read);
-            pool.paused(&ticket(short), engine.pause_ms * MILLISECOND);
+            pool.note_longest_pause(&ticket(short), engine.pause_ms * MILLISECOND);
             let whole = first + ANSWER * engine.token_ms * MILLISECOND;
             pool.finish(&ticket(short), End::Whole, whole);
         }
@@ -160,7 +160,7 @@
         );
     }
     // The engine gets requests again as soon as it answers.
-    pool.first_token(&ticket(1), now);
+    pool.note_first_token(&ticket(1), now);
     pool.finish(&ticket(1), End::Whole, now);
     let later = now + 10 * MILLISECOND;
     let given = (10..=18).filter_map(|sequence| {
@@ -175,7 +175,7 @@
     let mut pool = pool(6, 1, start);
     // Plain calls with an objective of 100 ms; the server never answers the first one.
     let call = |sequence, now| Offer {
-        first_token: 100 * MILLISECOND,
+        first_token_target: 100 * MILLISECOND,
         prompt_tokens: 1,
         ..impatient_offer(sequence, 0, now)
     };
@@ -185,7 +185,7 @@
         now += 20 * MILLISECOND;
         assert_eq!(granted(pool.offer(call(sequence, now), now)), [sequence]);
         now += 30 * MILLISECOND;
-        pool.first_token(&ticket(sequence), now);
+        pool.note_first_token(&ticket(sequence), now);
         pool.finish(&ticket(sequence), End::Whole, now);
     }
 }
@@ -198,7 +198,7 @@
     let mut slow_calls = 0;
     for sequence in 0..60 {
         let call = Offer {
-            first_token: 300 * MILLISECOND,
+            first_token_target: 300 * MILLISECOND,
             prompt_tokens: 1,
             ..impatient_offer(sequence, 0, now)
         };
--- a/cypressvane/tests/pool/main.rs
+++ b/cypressvane/tests/pool/main.rs
@@ -1,8 +1,6 @@
 //! Tests of a pool at its home: queue, placement, limits and refusals, with a simulated clock.
 
 mod common;
-#[path = "../drawn/mod.rs"]
-mod drawn;
 mod early;
 mod limited_load;
 mod limits;
@@ -11,3 +9,5 @@
 mod lost;
 mod queue;
 mod restarts;
+#[path = "../seeded/mod.rs"]
+mod seeded;
--- a/cypressvane/tests/pool/queue.rs
+++ b/cypressvane/tests/pool/queue.rs
@@ -9,7 +9,7 @@
 use quickcheck::{Arbitrary, Gen};
 
 use crate::common::{granted, granted_server, patient_offer as offer, spec, ticket};
-use crate::drawn;
+use crate::seeded;
 
 fn pool(servers: u16, slots: u32, waiting_max: usize, now: Instant) -> Pool {
     let mut pool = Pool::new("echo".into(), waiting_max);
@@ -69,7 +69,7 @@
         let offer = Offer {
             rank: queued.rank,
             priority: queued.priority,
-            deadline: now + Duration::from_secs(queued.deadline_s),
+            first_token_deadline: now + Duration::from_secs(queued.deadline_s),
             ..offer(index, 0, 1, now)
         };
         assert!(pool.offer(offer, now).is_empty());
@@ -131,7 +131,7 @@
     assert_eq!(refused(&actions), [(1, Code::NoServer)]);
     let mut pool = pool(1, 1, 10, now);
     let late = Offer {
-        deadline: now + Duration::from_secs(1),
+        first_token_deadline: now + Duration::from_secs(1),
         ..offer(1, 0, 400_000, now)
     };
     assert_eq!(
@@ -140,7 +140,7 @@
     );
     pool.offer(offer(2, 0, 1, now), now);
     let short = Offer {
-        deadline: now + Duration::from_secs(1),
+        first_token_deadline: now + Duration::from_secs(1),
         ..offer(3, 0, 1, now)
     };
     assert!(pool.offer(short, now).is_empty());
@@ -160,7 +160,7 @@
         );
     }
     assert!(pool.offer(offer(9, 0, 100, now), now).is_empty());
-    let actions = pool.first_token(&ticket(0), now + Duration::from_millis(25));
+    let actions = pool.note_first_token(&ticket(0), now + Duration::from_millis(25));
     assert_eq!(granted(actions), [9]);
 }
 
@@ -179,7 +179,7 @@
         counts[usize::from(!slow)] += u32::from(sequence >= 10);
         let time = if slow { 1500 } else { 30 };
         now += Duration::from_millis(time);
-        pool.first_token(&ticket(sequence), now);
+        pool.note_first_token(&ticket(sequence), now);
         pool.finish(&ticket(sequence), End::Whole, now);
     }
     assert!(
@@ -202,7 +202,7 @@
         pool.offer(offer(1, 0, 1, start), start);
         for sequence in [2, 3] {
             let waiting = Offer {
-                deadline: start + deadline,
+                first_token_deadline: start + deadline,
                 ..offer(sequence, 0, 1, start)
             };
             assert!(pool.offer(waiting, start).is_empty());
@@ -304,7 +304,7 @@
         "the offer waits until the server is tried again"
     );
     let short_deadline = Offer {
-        deadline: now + Duration::from_millis(100),
+        first_token_deadline: now + Duration::from_millis(100),
         ..offer(3, 0, 1, now)
     };
     assert_eq!(
@@ -432,7 +432,7 @@
                     .offer(offer(self.next, rank, prompt_tokens, now), now)
             }
             Event::FirstToken(index) => match self.pick(index) {
-                Some(sequence) => self.pool.first_token(&ticket(sequence), now),
+                Some(sequence) => self.pool.note_first_token(&ticket(sequence), now),
                 None => Vec::new(),
             },
             Event::Finish(index, end) => match self.pick(index) {
@@ -486,7 +486,7 @@
         let mut model = Model::new(Instant::now());
         events.into_iter().all(|event| model.step(event))
     }
-    drawn::quickcheck()
+    seeded::quickcheck()
         .tests(500)
         .quickcheck(property as fn(Vec<Event>) -> bool);
 }
--- a/cypressvane/tests/pool/restarts.rs
+++ b/cypressvane/tests/pool/restarts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
-use cypressvane::pool::{End, Pool, Spec, Told};
+use cypressvane::pool::{End, Pool, ReportedLimit, Spec};
 
 use crate::common::{granted, patient_offer, spec, ticket};
 
@@ -96,17 +96,17 @@
     let now = Instant::now();
     let mut pool = pool_with_full_server(now);
     let server = spec(0, 2).name;
-    pool.hear_limit(&ticket(1), &server, Some(1.0), now);
-    assert_eq!(pool.limited(), 1);
+    pool.apply_limit(&ticket(1), &server, Some(1.0), now);
+    assert_eq!(pool.limited_count(), 1);
     let later = now + Duration::from_millis(100);
     pool.set_servers(&[listed_server(Some(2_000))], later);
-    assert_eq!(pool.limited(), 0);
+    assert_eq!(pool.limited_count(), 0);
     // Another host reports a limit that it received before the restart.
-    let report = Told {
+    let report = ReportedLimit {
         per_second: 1.0,
-        heard: now,
+        received_at: now,
         heard_by: "host-1".into(),
     };
-    pool.hear_earlier_limit(&server, report, later);
-    assert_eq!(pool.limited(), 0);
+    pool.apply_reported_limit(&server, report, later);
+    assert_eq!(pool.limited_count(), 0);
 }
--- a/cypressvane/tests/lapse.rs
+++ b/cypressvane/tests/retention.rs
@@ -1,10 +1,10 @@
-//! Entries of backend servers that lapsed while the host list was unavailable.
+//! Retention of the entries of backend servers that expired while the host list was unavailable.
 
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
-use cypressvane::lapse::Lapse;
 use cypressvane::platform::{Entry, Kind, Presence};
+use cypressvane::retention::Retention;
 
 fn server(name: &str, presence: Presence) -> Entry {
     Entry {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn lapsed_servers_are_kept_for_two_seconds() {
+fn expired_servers_are_retained_for_two_seconds() {
     let cases = [
         Case {
             name: "a single missing server is removed at once",
@@ -52,7 +52,7 @@
             ],
         },
         Case {
-            name: "most servers of a service missing at once have lapsed, even without another sign",
+            name: "most servers of a service missing at once have expired, even without another sign",
             first: &["a", "b", "c"],
             list_returned_ms: None,
             polls: &[
@@ -84,10 +84,11 @@
             };
             names.iter().map(entry).collect::<Vec<_>>()
         };
-        let mut lapse = Lapse::default();
-        lapse.merge(entries(case.first), None, at(0));
+        let mut retention = Retention::default();
+        retention.merge(entries(case.first), None, at(0));
         for (millis, listed, expected) in case.polls {
-            let merged = lapse.merge(entries(listed), case.list_returned_ms.map(at), at(*millis));
+            let merged =
+                retention.merge(entries(listed), case.list_returned_ms.map(at), at(*millis));
             let mut names: Vec<&str> = merged.iter().map(|entry| &*entry.name).collect();
             names.sort_unstable();
             assert_eq!(names, *expected, "{}: at {millis} ms", case.name);
--- a/cypressvane/tests/rollout.rs
+++ b/cypressvane/tests/rollout.rs
@@ -3,14 +3,14 @@
 //! Invariants: a bad version gets no more than its share of the requests plus the slack, and a roll-out has one end.
 //! Goals: a good version is completed in time, and a bad one is rolled back soon.
 
-mod drawn;
+mod seeded;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
 use cypressvane::name::Name;
-use cypressvane::rollout::{Bounds, Order, Progress, Report, Rollout, Stage, Tally, Word};
+use cypressvane::rollout::{Bounds, Instruction, Order, Progress, Report, Rollout, Stage, Tally};
 use quickcheck::TestResult;
 
 const BOUNDS: Bounds = Bounds {
@@ -256,7 +256,7 @@
                 report(&mut rollout, index, host, now);
             }
         }
-        if let Some(progress) = rollout.step(now)
+        if let Some(progress) = rollout.progress_to_store(now)
             && is_writable(tick)
         {
             if progress.stage != Stage::InProgress {
@@ -265,10 +265,13 @@
                 outcome.why.clone_from(&progress.why);
                 outcome.ended_at = elapsed;
             }
-            rollout.kept(&progress);
+            rollout.record_stored(&progress);
             row.0 = Some(progress);
         }
-        if matches!(rollout.word(), Word::Nothing | Word::Ended(_)) {
+        if matches!(
+            rollout.instruction(),
+            Instruction::Nothing | Instruction::Ended(_)
+        ) {
             for host in &mut fleet {
                 host.permits = 0;
                 host.sends_all = false;
@@ -328,11 +331,11 @@
         new: std::mem::take(&mut host.new),
     };
     let name: Name = format!("host-{index}").into();
-    let instruction = rollout.hear(&name, 1, &report, now);
-    host.sends_all = instruction == Word::All;
+    let instruction = rollout.handle_report(&name, 1, &report, now);
+    host.sends_all = instruction == Instruction::All;
     host.permits = match instruction {
-        Word::Canary(permits) => permits,
-        Word::All | Word::Nothing | Word::Ended(_) => 0,
+        Instruction::Canary(permits) => permits,
+        Instruction::All | Instruction::Nothing | Instruction::Ended(_) => 0,
     };
 }
 
@@ -439,5 +442,5 @@
         let is_within = outcome.exposed as f64 <= exposure_bound(outcome.requests);
         TestResult::from_bool(is_within && outcome.all_ends.len() <= 1)
     }
-    drawn::quickcheck().quickcheck(holds as fn(u64, u16, Vec<u8>, Vec<u8>) -> TestResult);
+    seeded::quickcheck().quickcheck(holds as fn(u64, u16, Vec<u8>, Vec<u8>) -> TestResult);
 }
--- a/cypressvane_ctl/src/config.rs
+++ b/cypressvane_ctl/src/config.rs
@@ -116,7 +116,7 @@
         cause,
     };
     let fleet = Fleet::parse(text).map_err(|error| wrong(error.to_string()))?;
-    policy::Set::compile(&fleet).map_err(|error| wrong(error.to_string()))?;
+    policy::Programs::compile(&fleet).map_err(|error| wrong(error.to_string()))?;
     Ok(())
 }
 
--- a/cypressvane_ctl/src/policy.rs
+++ b/cypressvane_ctl/src/policy.rs
@@ -5,7 +5,7 @@
 
 use cypressvane::fleet::{Fleet, Policy as Program};
 use cypressvane::name::Name;
-use cypressvane::policy::{Queue, Request, Set, Verdict};
+use cypressvane::policy::{Programs, Queue, Request, Verdict};
 use serde::{Deserialize, Serialize};
 
 use crate::cli::{Check, Policy, PolicyCommand};
@@ -74,7 +74,7 @@
         }],
         ..Fleet::default()
     };
-    let set = Set::compile(&fleet)?;
+    let set = Programs::compile(&fleet)?;
     let mut decisions = Vec::new();
     for example in examples(check)? {
         decisions.push(decide(&set, &name, example)?);
@@ -102,7 +102,7 @@
     })
 }
 
-fn decide(set: &Set, policy: &Name, example: Example) -> Result<Decision, Error> {
+fn decide(set: &Programs, policy: &Name, example: Example) -> Result<Decision, Error> {
     let request = Request {
         account: example.account.as_str().into(),
         tier: example.tier.as_str().into(),
--- a/cypressvane_standin/src/bin/slopes/sizes.rs
+++ b/cypressvane_standin/src/bin/slopes/sizes.rs
@@ -311,11 +311,11 @@
             priority: 0,
             prompt_tokens: 200,
             arrived: now,
-            deadline: now + Duration::from_secs(3600),
-            first_token: Duration::from_millis(460),
+            first_token_deadline: now + Duration::from_secs(3600),
+            first_token_target: Duration::from_millis(460),
             pause: Duration::ZERO,
             answer_tokens: 0,
-            whole_by: now + Duration::from_secs(3600),
+            answer_deadline: now + Duration::from_secs(3600),
             avoid: None,
             early: false,
             returning: false,
@@ -335,7 +335,7 @@
         offer(&mut pool, &mut running);
         if !running.is_empty() {
             let ticket = running.swap_remove(0);
-            take(pool.first_token(&ticket, now), &mut running);
+            take(pool.note_first_token(&ticket, now), &mut running);
             take(pool.finish(&ticket, End::Whole, now), &mut running);
         }
         times.push(begun.elapsed());
