--- a/cypressvane_standin/src/bin/slopes/sizes.rs
+++ b/cypressvane_standin/src/bin/slopes/sizes.rs
@@ -314,11 +314,11 @@
             priority: 0,
             prompt_tokens: 200,
             arrived: now,
-            deadline: now + Duration::from_secs(3600),
-            first_token: Duration::from_millis(460),
+            first_token_deadline: now + Duration::from_secs(3600),
+            first_token_target: Duration::from_millis(460),
             pause: Duration::ZERO,
             answer_tokens: 0,
-            whole_by: now + Duration::from_secs(3600),
+            answer_deadline: now + Duration::from_secs(3600),
             avoid: None,
             early: false,
             returning: false,
@@ -338,7 +338,7 @@
         offer(&mut pool, &mut granted);
         if !granted.is_empty() {
             let ticket = granted.swap_remove(0);
-            collect_grants(pool.first_token(&ticket, now), &mut granted);
+            collect_grants(pool.note_first_token(&ticket, now), &mut granted);
             collect_grants(pool.finish(&ticket, End::Whole, now), &mut granted);
         }
         times.push(begun.elapsed());
