--- a/cypressvane/src/transport/accounts.rs
+++ b/cypressvane/src/transport/accounts.rs
@@ -123,7 +123,7 @@
         account: &Account,
         tokens: u32,
     ) -> Result<Charge, Over> {
-        let hosts = self.links.hosts();
+        let hosts = self.links.candidate_count();
         let in_flight = lock(&self.in_flight).check(account, hosts);
         let admitted = match in_flight {
             Ok(()) => self.charge_account(request_id, account, tokens).await,
@@ -325,7 +325,7 @@
     }
 
     fn reconnect(&self, home: &Name, now: Instant) {
-        if self.links.doubt(home, now) {
+        if self.links.reconnect_unanswered(home, now) {
             slog::info!(
                 self.log, "a link is made anew, since an ask got no word over it";
                 "host" => &**home, "asked" => "an account's limit",
--- a/cypressvane/src/transport/admission.rs
+++ b/cypressvane/src/transport/admission.rs
@@ -22,7 +22,7 @@
     let Some(policy) = &service.policy else {
         return Verdict::DEFAULT;
     };
-    let queue = node.desk.queue(&node.rollouts.pool(&service.name));
+    let queue = node.scheduler.queue(&node.rollouts.pool(&service.name));
     active
         .policies
         .decide(policy, facts, queue)
--- a/cypressvane/src/transport/backend.rs
+++ b/cypressvane/src/transport/backend.rs
@@ -53,7 +53,7 @@
         .ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
     // While a long answer is pending, nothing may be sent for long, so a dead connection would go unnoticed.
-    keepalive::probe(&stream, USER_TIMEOUT)?;
+    keepalive::enable(&stream, USER_TIMEOUT)?;
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(READ_BUFFER_BYTES)
         .handshake(FuturesIo::new(stream))
--- a/cypressvane/src/transport/callers/dispatch.rs
+++ b/cypressvane/src/transport/callers/dispatch.rs
@@ -20,11 +20,11 @@
 use crate::state::config::Timeouts;
 use crate::state::fingerprint::Fingerprint;
 use crate::state::name::Name;
-use crate::transport::desk::{Grant, Place, Wish, Word};
 use crate::transport::http::answer::{self, REQUEST_ID};
 use crate::transport::http::client::{self, Connection, Error};
 use crate::transport::node::Node;
 use crate::transport::runtime::within;
+use crate::transport::scheduler::{Decision, Grant, HeldRequest, RequestSpec};
 use crate::transport::trace::{ANSWERED, Trace};
 
 /// Time past a request's due time in which its home may still refuse it; after that its holder refuses it.
@@ -38,7 +38,7 @@
 pub(crate) struct Job {
     pub(crate) request: Request<Waiting>,
     pub(crate) trace: Trace,
-    pub(crate) wish: Wish,
+    pub(crate) spec: RequestSpec,
     /// What is sent; its host and port are set when the server is known.
     pub(crate) outgoing: HttpRequest,
     pub(crate) stream: bool,
@@ -52,7 +52,7 @@
 /// A request that was granted a server, with an open connection on which nothing has been sent.
 struct Ready {
     request: Request<Waiting>,
-    place: Place,
+    held: HeldRequest,
     connection: Connection,
     server: Name,
     address: SocketAddr,
@@ -60,8 +60,8 @@
 
 /// Runs a job until it is answered or refused.
 pub(crate) async fn run(node: &Arc<Node>, mut job: Job) -> Response {
-    let place = node.desk.hold(&job.wish);
-    let ready = wait_for_connection(node, job.request, place, &job.wish, &mut job.trace).await;
+    let held = node.scheduler.hold(&job.spec);
+    let ready = wait_for_connection(node, job.request, held, &job.spec, &mut job.trace).await;
     let ready = match ready {
         Ok(ready) => ready,
         Err(refusal) => return refusal_response(&mut job.trace, &refusal),
@@ -84,7 +84,7 @@
         address: ready.address,
         at: Instant::now(),
     };
-    send(ready, job.trace, &job.wish, job.outgoing, job.stream, sent).await
+    send(ready, job.trace, &job.spec, job.outgoing, job.stream, sent).await
 }
 
 /// Records a refusal in the trace and builds its response.
@@ -97,23 +97,23 @@
 async fn wait_for_connection(
     node: &Node,
     request: Request<Waiting>,
-    mut place: Place,
-    wish: &Wish,
+    mut held: HeldRequest,
+    spec: &RequestSpec,
     trace: &mut Trace,
 ) -> Result<Ready, Refusal> {
     let connect_time = Timeouts::of(node.config.timeouts.connect_ms);
     loop {
-        let remaining = wish
+        let remaining = spec
             .first_token_deadline
             .saturating_duration_since(Instant::now());
-        let decision = within(remaining + HOME_MARGIN, place.word()).await;
+        let decision = within(remaining + HOME_MARGIN, held.decision()).await;
         let grant = match decision {
-            // This grant is too late to be used; it is returned when the place is dropped.
-            Some(Word::Grant(_)) if Instant::now() >= wish.first_token_deadline => {
+            // This grant is too late to be used; it is returned when the held request is dropped.
+            Some(Decision::Grant(_)) if Instant::now() >= spec.first_token_deadline => {
                 return Err(request.refuse(Reason::deadline_passed()));
             }
-            Some(Word::Grant(grant)) => grant,
-            Some(Word::Refuse(reason)) => return Err(request.refuse(reason)),
+            Some(Decision::Grant(grant)) => grant,
+            Some(Decision::Refuse(reason)) => return Err(request.refuse(reason)),
             None => return Err(request.refuse(Reason::deadline_passed())),
         };
         trace.granted(&grant);
@@ -125,7 +125,7 @@
                 trace.connected();
                 return Ok(Ready {
                     request,
-                    place,
+                    held,
                     connection,
                     server,
                     address,
@@ -136,7 +136,7 @@
                     node.log, "a backend server accepts no connection";
                     "server" => &*server, "cause" => %error, "request_id" => &trace.request_id
                 );
-                place.unreachable();
+                held.return_unreachable();
             }
         }
     }
@@ -161,14 +161,14 @@
 async fn send(
     ready: Ready,
     mut trace: Trace,
-    wish: &Wish,
+    spec: &RequestSpec,
     mut outgoing: HttpRequest,
     stream: bool,
     sent: SentRequest,
 ) -> Response {
     let Ready {
         request,
-        place,
+        held,
         connection,
         address,
         ..
@@ -179,44 +179,44 @@
     let silence = Timeouts::of(node.config.timeouts.silence_ms);
     trace.sent();
     let dispatched = request.dispatch(Instant::now());
-    let remaining = wish
+    let remaining = spec
         .answer_deadline
         .saturating_duration_since(dispatched.state.at);
     let mut response = match connection.send(outgoing, silence.min(remaining)).await {
         Ok(response) => response,
         Err(error) => {
-            place.finish(End::Broken);
+            held.finish(End::Broken);
             sent.check_server_ended(&error);
             return refusal_response(&mut trace, &dispatched.fail(backend_reason(&error)));
         }
     };
     if is_mismatched(&response, &dispatched.id) {
-        place.finish(End::Broken);
+        held.finish(End::Broken);
         let message = "the backend server answered another request";
         let refusal = dispatched.fail(Reason::new(Code::AnswerMismatch, message));
         return refusal_response(&mut trace, &refusal);
     }
     let limit_values = response.header(NATIVE_LIMIT);
     let limit_values = limit_values.into_iter().flat_map(|values| values.iter());
-    place.hear_limit(
+    held.report_limit(
         Limit::read(limit_values.map(HeaderValue::as_str)),
         &node.metrics,
     );
     if stream && response.status().is_success() {
         let limits = relay::Limits {
             silence,
-            deadline: wish.answer_deadline,
+            deadline: spec.answer_deadline,
         };
-        return relay::stream(dispatched, response, place, trace, limits, sent);
+        return relay::stream(dispatched, response, held, trace, limits, sent);
     }
-    let remaining = wish
+    let remaining = spec
         .answer_deadline
         .saturating_duration_since(Instant::now());
     let bytes_max = node.config.limits.answer_bytes;
-    let body = client::read_whole(address, &mut response, bytes_max, remaining).await;
+    let body = client::read_body(address, &mut response, bytes_max, remaining).await;
     match body {
         Ok(_) if end_for(&response) == End::Leaving => {
-            place.finish(End::Leaving);
+            held.finish(End::Leaving);
             let message = "the backend server is leaving and refused the request";
             let refusal = dispatched.fail(Reason::new(Code::BackendFailed, message));
             refusal_response(&mut trace, &refusal)
@@ -225,14 +225,14 @@
             trace
                 .times
                 .first_token
-                .observe(wish.arrived.elapsed().as_secs_f64());
+                .observe(spec.arrived.elapsed().as_secs_f64());
             trace.end(ANSWERED);
             sent.record_success();
-            place.finish(end_for(&response));
+            held.finish(end_for(&response));
             forwarded_response(&response, body, &dispatched.id)
         }
         Err(error) => {
-            place.finish(End::Broken);
+            held.finish(End::Broken);
             sent.check_server_ended(&error);
             refusal_response(&mut trace, &dispatched.fail(backend_reason(&error)))
         }
@@ -268,7 +268,7 @@
 
 /// Builds the caller's response from the backend server's answer.
 fn forwarded_response(from: &Response, body: Vec<u8>, request_id: &str) -> Response {
-    let mut response = answer::plain(from.status().into(), body);
+    let mut response = answer::with_body(from.status().into(), body);
     for (name, values) in from {
         if is_forwarded(name) {
             response.insert_header(name, values);
--- a/cypressvane/src/transport/callers/mod.rs
+++ b/cypressvane/src/transport/callers/mod.rs
@@ -25,11 +25,11 @@
 use crate::state::units::millis;
 use crate::transport::active::Active;
 use crate::transport::admission::{over_reason, verdict};
-use crate::transport::desk::Wish;
 use crate::transport::http::answer::{self, REQUEST_ID};
 use crate::transport::http::head::{bearer, header};
-use crate::transport::http::server::{Call, Endpoint};
+use crate::transport::http::server::{Endpoint, IncomingRequest};
 use crate::transport::node::Node;
+use crate::transport::scheduler::RequestSpec;
 use crate::transport::trace::Trace;
 use dispatch::{Job, is_forwarded};
 use route::{Route, route};
@@ -84,7 +84,7 @@
         Self { node }
     }
 
-    async fn serve(&self, request: Request<Received>, mut call: Call) -> Response {
+    async fn serve(&self, request: Request<Received>, mut call: IncomingRequest) -> Response {
         let route = match route(&call.request) {
             Ok(route) => route,
             Err(error) => return error.into_response(request),
@@ -174,7 +174,7 @@
                 return answer::refusal(&request.refuse(reason));
             }
         };
-        let wish = Wish {
+        let spec = RequestSpec {
             pool: self.node.rollouts.pool(&prepared.service.name),
             service: prepared.service.name,
             rank,
@@ -195,7 +195,7 @@
         let job = Job {
             request: request.wait(),
             trace,
-            wish,
+            spec,
             outgoing: prepared.outgoing,
             stream: prepared.stream,
             key: options.key,
@@ -207,7 +207,7 @@
 }
 
 impl Endpoint for Callers {
-    async fn answer(&self, call: Call) -> Response {
+    async fn answer(&self, call: IncomingRequest) -> Response {
         self.serve(Request::receive(call.arrived), call).await
     }
 
@@ -240,7 +240,7 @@
     active: &Active,
     account: &Account,
     kind: Completion,
-    call: &mut Call,
+    call: &mut IncomingRequest,
 ) -> Result<PreparedRequest, Reason> {
     let body = call.body().await?;
     let fingerprint = fingerprint(account, &call.request, &body);
@@ -270,7 +270,7 @@
     account: &Account,
     service: &str,
     path: &str,
-    call: &mut Call,
+    call: &mut IncomingRequest,
 ) -> Result<PreparedRequest, Reason> {
     let service = find_service(active, service, Kind::Plain)?;
     let body = call.body().await?;
--- a/cypressvane/src/transport/callers/relay.rs
+++ b/cypressvane/src/transport/callers/relay.rs
@@ -14,10 +14,10 @@
 use crate::protocol::refusal::Reason;
 use crate::protocol::request::{Dispatched, Request};
 use crate::state::clock::Instant;
-use crate::transport::desk::Place;
 use crate::transport::http::answer::{self, REQUEST_ID};
 use crate::transport::http::client::Error;
 use crate::transport::runtime::within;
+use crate::transport::scheduler::HeldRequest;
 use crate::transport::trace::{ANSWERED, Trace};
 
 /// Size of a read of a stream, in bytes.
@@ -44,7 +44,7 @@
     response: Response,
     sent: SentRequest,
     /// Taken when the stream ends.
-    place: Option<Place>,
+    held: Option<HeldRequest>,
     trace: Trace,
     limits: Limits,
     /// When the last chunk arrived; `None` before the first.
@@ -56,12 +56,12 @@
 pub(crate) fn stream(
     request: Request<Dispatched>,
     response: Response,
-    place: Place,
+    held: HeldRequest,
     trace: Trace,
     limits: Limits,
     sent: SentRequest,
 ) -> Response {
-    let mut answer = answer::plain(200, Vec::new());
+    let mut answer = answer::with_body(200, Vec::new());
     answer.insert_header(CONTENT_TYPE, "text/event-stream");
     answer.insert_header(CACHE_CONTROL, "no-cache");
     answer.insert_header(REQUEST_ID, &request.id);
@@ -69,7 +69,7 @@
         request,
         response,
         sent,
-        place: Some(place),
+        held: Some(held),
         trace,
         limits,
         last_chunk_at: None,
@@ -88,7 +88,7 @@
 impl Relay {
     /// Returns the next chunk, or an error event if the stream failed; `None` at the end.
     async fn next(mut self) -> Option<(Vec<u8>, Self)> {
-        self.place.as_ref()?;
+        self.held.as_ref()?;
         match self.read_chunk().await {
             Ok(Some(chunk)) => {
                 self.record_chunk(&chunk);
@@ -148,8 +148,8 @@
             None => {
                 let since = now.saturating_duration_since(self.trace.arrived);
                 times.first_token.observe(since.as_secs_f64());
-                if let Some(place) = &self.place {
-                    place.first_token();
+                if let Some(held) = &self.held {
+                    held.report_first_token();
                 }
             }
             Some(last) => {
@@ -167,8 +167,8 @@
     }
 
     fn end(&mut self, end: End, outcome: &'static str) {
-        if let Some(place) = self.place.take() {
-            place.finish(end);
+        if let Some(held) = self.held.take() {
+            held.finish(end);
         }
         self.trace.end(outcome);
     }
--- a/cypressvane/src/transport/gateway/admission.rs
+++ b/cypressvane/src/transport/gateway/admission.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 
 use super::exchange::{Exchange, Routing};
-use super::message::{Contract, InboundRequest};
+use super::inbound::{Contract, InboundRequest};
 use super::respond::{self, Body, host};
 use crate::coordination::policy::{self, Verdict};
 use crate::protocol::exchange::Ask;
@@ -24,9 +24,9 @@
 use crate::transport::accounts::Charge;
 use crate::transport::active::Active;
 use crate::transport::admission::{over_reason, verdict};
-use crate::transport::desk::Wish;
 use crate::transport::node::{NOT_READY_RETRY, Node};
 use crate::transport::runtime::within;
+use crate::transport::scheduler::RequestSpec;
 use crate::transport::trace::Trace;
 
 /// The route, service, account and tier that a request was matched to.
@@ -114,7 +114,7 @@
         trace.charged(charge);
     }
     let way = node.rollouts.way(&matched.service.name);
-    let wish = wish(
+    let spec = request_spec(
         node,
         &active,
         &matched,
@@ -122,17 +122,17 @@
         &inbound.head,
         request.arrived,
     );
-    let wish = match wish {
-        Ok(wish) => Wish {
+    let spec = match spec {
+        Ok(spec) => RequestSpec {
             pool: way.pool.clone(),
-            ..wish
+            ..spec
         },
         Err(reason) => {
             trace.fail(&reason);
             return Err(request.refuse(reason));
         }
     };
-    node.count_request(&wish.service, request.arrived);
+    node.count_request(&spec.service, request.arrived);
     let contract = Contract {
         method: matched.route.method,
         max_attempts: matched.route.attempts,
@@ -143,7 +143,7 @@
     let routing = Routing {
         route: matched.route.name.clone(),
         way,
-        wish,
+        spec,
     };
     let exchange = Exchange::new(Arc::clone(node), trace, routing, contract, inbound);
     Ok((exchange, request.wait()))
@@ -165,14 +165,14 @@
 ///
 /// # Errors
 /// When the service's policy refuses the request.
-fn wish(
+fn request_spec(
     node: &Node,
     active: &Active,
     matched: &RouteMatch<'_>,
     ask: &Ask,
     head: &Parts,
     arrived: Instant,
-) -> Result<Wish, Reason> {
+) -> Result<RequestSpec, Reason> {
     let timeout = matched.route.timeout();
     let allowed = ask
         .patience
@@ -193,7 +193,7 @@
         Verdict::Refuse { why } => return Err(Reason::new(Code::RefusedByPolicy, why)),
     };
     let mark = mark(ask, &facts.account);
-    Ok(Wish {
+    Ok(RequestSpec {
         pool: facts.service.clone(),
         service: facts.service,
         rank: matched.rank,
--- a/cypressvane/src/transport/gateway/evidence.rs
+++ b/cypressvane/src/transport/gateway/attempt.rs
@@ -42,7 +42,7 @@
     pub(super) fn record_success(&mut self, pause: Option<Duration>) {
         self.way.observe(&self.route, Observed::Whole { pause });
         self.trace.end(ANSWERED);
-        self.place.end(End::Whole);
+        self.held.end(End::Whole);
         let fingerprint = || self.inbound.fingerprint();
         self.node.quarantine.answered(fingerprint, Instant::now());
     }
@@ -50,7 +50,7 @@
     /// Records for the roll-out how long an accepted answer, or its first events, took and how long was expected.
     pub(super) fn record_first_token(&self, sent: Instant) {
         let belief = self.node.config.engines.belief();
-        let prefill_seconds = f64::from(self.wish.prompt_tokens) / belief.prefill_rate;
+        let prefill_seconds = f64::from(self.spec.prompt_tokens) / belief.prefill_rate;
         let first = Observed::First {
             took: sent.elapsed(),
             expected: belief.overhead + Duration::from_secs_f64(prefill_seconds),
@@ -79,17 +79,17 @@
     /// A canary request moves to the pool that serves the service, so that a fault of the new version does not cost
     /// the caller its answer. Returns whether the pool changed.
     pub(super) fn switch_pool(&mut self) -> bool {
-        let (rollouts, service) = (&self.node.rollouts, &self.wish.service);
+        let (rollouts, service) = (&self.node.rollouts, &self.spec.service);
         let pool = if self.way.is_new() {
             Some(rollouts.pool(service))
         } else {
-            rollouts.successor(service, &self.wish.pool)
+            rollouts.successor(service, &self.spec.pool)
         };
-        let Some(pool) = pool.filter(|pool| *pool != self.wish.pool) else {
+        let Some(pool) = pool.filter(|pool| *pool != self.spec.pool) else {
             return false;
         };
-        self.place.change_pool(&pool);
-        self.wish.pool = pool.clone();
+        self.held.change_pool(&pool);
+        self.spec.pool = pool.clone();
         self.way = Way::to(pool);
         true
     }
@@ -100,7 +100,7 @@
     /// suspended: the caller's deadline and the lease of its key run on during that time.
     pub(super) fn check_sendable(&self) -> Result<(), Reason> {
         let now = Instant::now();
-        if now >= self.wish.first_token_deadline {
+        if now >= self.spec.first_token_deadline {
             return Err(timed_out());
         }
         if self.inbound.account.is_some() && !self.node.knows_keys(now) {
--- a/cypressvane/src/transport/gateway/connection.rs
+++ b/cypressvane/src/transport/gateway/connection.rs
@@ -13,7 +13,7 @@
 
 use super::Gateway;
 use crate::transport::http::keepalive::set_user_timeout;
-use crate::transport::http::listener::{Service, State};
+use crate::transport::http::listener::{ConnectionHandler, State};
 
 /// Size of a connection's read buffer in bytes; twice the largest head that the users' sites allow.
 const READ_BYTES: usize = 32 * 1024;
@@ -22,17 +22,17 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Serves the connections of callers on routes.
-pub(crate) struct Routes {
+pub(crate) struct RouteServer {
     pub(crate) gateway: Gateway,
     /// How long a connection may be idle.
-    pub(crate) idle: Duration,
+    pub(crate) idle_timeout: Duration,
     /// Largest number of connections open at once.
-    pub(crate) most: usize,
+    pub(crate) max_connections: usize,
 }
 
-impl Service for Routes {
+impl ConnectionHandler for RouteServer {
     async fn serve(&self, stream: TcpStream, state: &State) {
-        if state.open() > self.most {
+        if state.open() > self.max_connections {
             // The connection closes before a byte is read, so the caller knows that nothing ran.
             return;
         }
@@ -40,7 +40,7 @@
     }
 }
 
-impl Routes {
+impl RouteServer {
     async fn serve_requests(&self, stream: TcpStream, state: &State) {
         // Errors are ignored: without these options, events and the loss of a caller are only delayed.
         let _ = stream.set_nodelay(true);
@@ -55,7 +55,7 @@
         });
         let connection = http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(self.idle)
+            .header_read_timeout(self.idle_timeout)
             .max_buf_size(READ_BYTES)
             .serve_connection(FuturesIo::new(stream), service);
         let mut connection = pin!(connection);
--- a/cypressvane/src/transport/gateway/exchange.rs
+++ b/cypressvane/src/transport/gateway/exchange.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt as _, Full, Limited};
 
 use super::failure::Failure;
-use super::message::{Contract, InboundRequest};
+use super::inbound::{Contract, InboundRequest};
 use super::relay::{self, Stream};
 use super::respond::{self, Body, strip_connection};
 use crate::coordination::pool::End;
@@ -20,10 +20,10 @@
 use crate::state::config::Timeouts;
 use crate::state::name::Name;
 use crate::transport::backend::{self, Answer, Connection};
-use crate::transport::desk::{Grant, Place, Wish, Word};
 use crate::transport::node::Node;
 use crate::transport::rollout::Way;
 use crate::transport::runtime::within;
+use crate::transport::scheduler::{Decision, Grant, HeldRequest, RequestSpec};
 use crate::transport::trace::Trace;
 
 /// Time past a request's due time in which its home may still refuse it; after that its holder refuses it.
@@ -42,10 +42,10 @@
 pub(super) struct Exchange {
     pub(super) node: Arc<Node>,
     pub(super) trace: Trace,
-    pub(super) wish: Wish,
+    pub(super) spec: RequestSpec,
     pub(super) contract: Contract,
     pub(super) inbound: InboundRequest,
-    pub(super) place: Place,
+    pub(super) held: HeldRequest,
     pub(super) route: Name,
     /// The version of the service that the request goes to.
     pub(super) way: Way,
@@ -59,7 +59,7 @@
 pub(super) struct Routing {
     pub(super) route: Name,
     pub(super) way: Way,
-    pub(super) wish: Wish,
+    pub(super) spec: RequestSpec,
 }
 
 /// One attempt to send the request to a backend server.
@@ -96,17 +96,17 @@
         contract: Contract,
         inbound: InboundRequest,
     ) -> Self {
-        let Routing { route, way, wish } = routing;
-        let place = node.desk.hold(&wish);
+        let Routing { route, way, spec } = routing;
+        let held = node.scheduler.hold(&spec);
         Self {
             route,
             way,
             node,
             trace,
-            wish,
+            spec,
             contract,
             inbound,
-            place,
+            held,
             attempts: 0,
             last_attempt: None,
         }
@@ -197,15 +197,15 @@
         if retry.is_ok() {
             self.switch_pool();
             let wait = self.contract.objective * RETRY_OBJECTIVES;
-            self.wish.first_token_deadline = self.wish.answer_deadline.min(now + wait);
-            self.place
-                .again(failure.end, Some(self.wish.first_token_deadline));
+            self.spec.first_token_deadline = self.spec.answer_deadline.min(now + wait);
+            self.held
+                .offer_again(failure.end, Some(self.spec.first_token_deadline));
             return Ok(match failure.not_run {
                 Some(proof) => request.returned(proof),
                 None => request.repeat(),
             });
         }
-        self.place.end(failure.end);
+        self.held.end(failure.end);
         let refusal = match failure.not_run {
             Some(proof) => {
                 let message = failure.reason.message;
@@ -225,11 +225,11 @@
             Err("method")
         } else if self.attempts >= self.contract.max_attempts {
             Err("attempts")
-        } else if now >= self.wish.answer_deadline {
+        } else if now >= self.spec.answer_deadline {
             Err("deadline")
         } else if self.quarantine_refusal().is_some() {
             Err("quarantine")
-        } else if !self.node.may_repeat(&self.wish.service, now) {
+        } else if !self.node.may_repeat(&self.spec.service, now) {
             Err("budget")
         } else {
             Ok(())
@@ -241,30 +241,34 @@
         let connect_time = Timeouts::of(self.node.config.timeouts.connect_ms);
         loop {
             let left = self
-                .wish
+                .spec
                 .first_token_deadline
                 .saturating_duration_since(Instant::now());
-            let decision = within(left + HOME_MARGIN, self.place.word()).await;
+            let decision = within(left + HOME_MARGIN, self.held.decision()).await;
             let grant = match decision {
-                // This grant is too late to be used; it is returned when the place is dropped.
-                Some(Word::Grant(_)) if Instant::now() >= self.wish.first_token_deadline => {
+                // This grant is too late to be used; it is returned when the held request is dropped.
+                Some(Decision::Grant(_)) if Instant::now() >= self.spec.first_token_deadline => {
                     return Err(timed_out());
                 }
-                Some(Word::Grant(grant)) => grant,
-                Some(Word::Refuse(_)) if self.switch_pool() => {
-                    self.place.again(End::Unused, None);
+                Some(Decision::Grant(grant)) => grant,
+                Some(Decision::Refuse(_)) if self.switch_pool() => {
+                    self.held.offer_again(End::Unused, None);
                     continue;
                 }
-                Some(Word::Refuse(reason)) => return Err(reason),
+                Some(Decision::Refuse(reason)) => return Err(reason),
                 None => return Err(timed_out()),
             };
-            if self.node.desk.is_leaving(&self.wish.pool, &grant.server) {
+            if self
+                .node
+                .scheduler
+                .is_leaving(&self.spec.pool, &grant.server)
+            {
                 slog::info!(
                     self.node.log, "a grant for a server that leaves goes back";
                     "request_id" => &self.trace.request_id, "server" => &*grant.server,
                 );
                 self.switch_pool();
-                self.place.again(End::Leaving, None);
+                self.held.offer_again(End::Leaving, None);
                 continue;
             }
             self.trace.granted(&grant);
@@ -288,7 +292,7 @@
                         "request_id" => &self.trace.request_id
                     );
                     self.switch_pool();
-                    self.place.unreachable();
+                    self.held.return_unreachable();
                 }
             }
         }
@@ -308,7 +312,7 @@
         let reply = self.node.dialect.reply(status, answer.response.headers());
         self.trace.loaded(reply.load);
         if reply.tells_of_server(self.inbound.caller_id.as_deref()) {
-            self.place.hear_limit(reply.limit, &self.node.metrics);
+            self.held.report_limit(reply.limit, &self.node.metrics);
         }
         self.check_head(&answer, &reply)?;
         if self.contract.method.is_stream() && status.is_success() {
@@ -344,7 +348,7 @@
 
     /// Time left until the whole answer is due.
     pub(super) fn time_left(&self) -> Duration {
-        self.wish
+        self.spec
             .answer_deadline
             .saturating_duration_since(Instant::now())
     }
--- a/cypressvane/src/transport/gateway/mod.rs
+++ b/cypressvane/src/transport/gateway/mod.rs
@@ -5,18 +5,18 @@
 //! | `connection` | connections of callers |
 //! | `admission` | finds the route and the account, applies limits and the policy |
 //! | `exchange` | waits for grants, sends the request, retries |
-//! | `message` | a request as its caller sent it, and the terms of its route |
-//! | `evidence` | records the outcome of an attempt, checks what must hold before the next |
+//! | `inbound` | a request as its caller sent it, and the terms of its route |
+//! | `attempt` | records the outcome of an attempt, checks what must hold before the next |
 //! | `failure` | reasons for which an answer is rejected |
 //! | `relay` | relays the events of a stream, from one server or several |
 //! | `respond` | responses |
 
 mod admission;
+mod attempt;
 pub(crate) mod connection;
-mod evidence;
 mod exchange;
 mod failure;
-mod message;
+mod inbound;
 mod relay;
 mod respond;
 
--- a/cypressvane/src/transport/gateway/relay.rs
+++ b/cypressvane/src/transport/gateway/relay.rs
@@ -223,12 +223,12 @@
         match self.last_events_at {
             None => {
                 self.exchange.trace.first_token();
-                self.exchange.place.first_token();
+                self.exchange.held.report_first_token();
             }
             Some(last) => {
                 let pause = now.saturating_duration_since(last);
                 self.exchange.trace.gap(pause);
-                self.exchange.place.pause(pause);
+                self.exchange.held.note_pause(pause);
                 self.pauses.add(pause);
             }
         }
--- a/cypressvane/src/transport/host.rs
+++ b/cypressvane/src/transport/host.rs
@@ -16,21 +16,21 @@
 use crate::state::platform::Services;
 use crate::state::units::millis;
 use crate::transport::callers::Callers;
-use crate::transport::desk::TICK;
 use crate::transport::gateway::Gateway;
-use crate::transport::gateway::connection::Routes;
+use crate::transport::gateway::connection::RouteServer;
 use crate::transport::http::listener;
 use crate::transport::http::server::{self, Options};
 use crate::transport::node::{Listening, Node, Signals};
 use crate::transport::operators::Operators;
 use crate::transport::peers::Peers;
-use crate::transport::peers::links::Moves;
+use crate::transport::peers::links::CandidateChanges;
 use crate::transport::platform::follow;
 use crate::transport::platform::roster;
 use crate::transport::platform::{HttpRoster, HttpTable};
 use crate::transport::quarantine::keeper;
 use crate::transport::rollout;
 use crate::transport::runtime;
+use crate::transport::scheduler::TICK;
 
 pub use crate::transport::operators::State;
 
@@ -52,7 +52,7 @@
 /// Largest configuration that may be submitted, in bytes; 33,000 accounts take 4.6 MB.
 const MAX_CONFIGURATION_BYTES: u64 = 64 << 20;
 /// Most hosts that a log line names on each side of a change; a start of the whole fleet changes all of them.
-const MAX_MOVES_LOGGED: usize = 8;
+const HOSTS_LOGGED_MAX: usize = 8;
 /// Time that the operators' listener gets to finish its answers.
 const OPERATORS_STOP_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -140,7 +140,7 @@
     let addresses = &node.config.listeners;
     let options = options(&node.config);
     let operators_options = Options {
-        body_bytes: MAX_CONFIGURATION_BYTES,
+        max_body_bytes: MAX_CONFIGURATION_BYTES,
         ..options.clone()
     };
     let callers = Callers::new(Arc::clone(node));
@@ -159,7 +159,7 @@
         peers,
         routes: addresses
             .routes
-            .map(|address| bind_routes(node, address, options.connections))
+            .map(|address| bind_routes(node, address, options.max_connections))
             .transpose()?,
     })
 }
@@ -167,12 +167,12 @@
 fn bind_routes(
     node: &Arc<Node>,
     address: SocketAddr,
-    most: usize,
+    max_connections: usize,
 ) -> Result<server::Handle, Error> {
-    let routes = Routes {
+    let routes = RouteServer {
         gateway: Gateway::new(Arc::clone(node)),
-        idle: Timeouts::of(node.config.timeouts.idle_ms),
-        most,
+        idle_timeout: Timeouts::of(node.config.timeouts.idle_ms),
+        max_connections,
     };
     listener::bind(address, routes).map_err(|source| Error::Bind {
         listener: "routes",
@@ -187,18 +187,20 @@
     vec![
         runtime::spawn(follow::run(Arc::clone(node), nudges)),
         runtime::spawn(roster::run(Arc::clone(node), installs)),
-        runtime::spawn(roster::pass_on(Arc::clone(node))),
+        runtime::spawn(roster::announce_changes(Arc::clone(node))),
         runtime::spawn(keeper::run(Arc::clone(node))),
         runtime::spawn(rollout::run(Arc::clone(node))),
-        periodic(TICK, |node, now| node.desk.tick(now)),
+        periodic(TICK, |node, now| node.scheduler.tick(now)),
         periodic(REFRESH_PERIOD, refresh),
-        periodic(REFRESH_PERIOD, |node, now| node.desk.reconcile(now)),
-        periodic(CHECK_PERIOD, |node, now| node.desk.offer_again(now)),
+        periodic(REFRESH_PERIOD, |node, now| node.scheduler.reconcile(now)),
+        periodic(CHECK_PERIOD, |node, now| node.scheduler.retry_offers(now)),
         periodic(CHECK_PERIOD, |node, now| node.accounts.reconnect_late(now)),
         periodic(CHECK_PERIOD, |node, _| roster::follow_rollouts(node)),
         periodic(CHECK_PERIOD, |node, now| node.rollouts.report(now)),
-        periodic(IDLE_REPORT_PERIOD, |node, now| node.desk.tell_idle(now)),
-        periodic(WORK_LOG_PERIOD, |node, now| node.desk.log_work(now)),
+        periodic(IDLE_REPORT_PERIOD, |node, now| {
+            node.scheduler.report_idle(now);
+        }),
+        periodic(WORK_LOG_PERIOD, |node, now| node.scheduler.log_work(now)),
         periodic(WORK_LOG_PERIOD, update_limited_servers),
         periodic(SWEEP_PERIOD, |node, now| node.accounts.sweep(now)),
         periodic(QUARANTINE_SWEEP_PERIOD, |node, now| {
@@ -209,12 +211,12 @@
 
 fn options(config: &Config) -> Options {
     Options {
-        body_bytes: config.limits.body_bytes,
-        connections: usize::try_from(config.limits.connections).unwrap_or(usize::MAX),
-        head: Timeouts::of(config.timeouts.head_ms),
-        body: Timeouts::of(config.timeouts.body_ms),
-        idle: Timeouts::of(config.timeouts.idle_ms),
-        write: Timeouts::of(config.timeouts.write_ms),
+        max_body_bytes: config.limits.body_bytes,
+        max_connections: usize::try_from(config.limits.connections).unwrap_or(usize::MAX),
+        head_timeout: Timeouts::of(config.timeouts.head_ms),
+        body_timeout: Timeouts::of(config.timeouts.body_ms),
+        idle_timeout: Timeouts::of(config.timeouts.idle_ms),
+        write_timeout: Timeouts::of(config.timeouts.write_ms),
     }
 }
 
@@ -241,20 +243,20 @@
 fn refresh(node: &Node, now: Instant) {
     detect_standstill(node, now);
     let before = node.links.homes();
-    if let Some(moves) = node.links.refresh(now) {
+    if let Some(changes) = node.links.refresh(now) {
         let homes = node.links.homes();
         node.accounts.rehome(&before, &homes, now);
-        log_moves(node, &moves, now);
-        node.desk.rehome(now);
+        log_candidate_changes(node, &changes, now);
+        node.scheduler.rehome(now);
     }
     node.roster.follow(roster::attention(node));
-    node.links.tell_list_read(node.roster.read_here());
+    node.links.announce_list_read(node.roster.read_here());
     node.share_budget(now);
-    node.desk.share_limits(now);
+    node.scheduler.share_limits(now);
 }
 
 fn update_limited_servers(node: &Node, _: Instant) {
-    let limited = i64::try_from(node.desk.limited_servers()).unwrap_or(i64::MAX);
+    let limited = i64::try_from(node.scheduler.limited_servers()).unwrap_or(i64::MAX);
     node.metrics.limited_servers.set(limited);
 }
 
@@ -265,7 +267,7 @@
         return;
     }
     node.links
-        .stood_still(lap.passed.saturating_sub(REFRESH_PERIOD), now);
+        .discount_suspension(lap.passed.saturating_sub(REFRESH_PERIOD), now);
     slog::warn!(
         node.log, "this host stood still";
         "ms" => millis(lap.passed), "suspended_ms" => millis(lap.suspended),
@@ -274,23 +276,23 @@
 }
 
 /// Logs which hosts may be homes from now on, and why others may no longer be.
-fn log_moves(node: &Node, moves: &Moves, now: Instant) {
-    let lost = moves.lost.iter().take(MAX_MOVES_LOGGED);
+fn log_candidate_changes(node: &Node, changes: &CandidateChanges, now: Instant) {
+    let lost = changes.lost.iter().take(HOSTS_LOGGED_MAX);
     let lost: Vec<_> = lost
         .map(|(name, unfit)| format!("{name} {}", unfit.text()))
         .collect();
-    let gained: Vec<&str> = moves
+    let gained: Vec<&str> = changes
         .gained
         .iter()
-        .take(MAX_MOVES_LOGGED)
+        .take(HOSTS_LOGGED_MAX)
         .map(|name| &**name)
         .collect();
     slog::info!(
         node.log, "other hosts may be homes";
-        "homes" => node.links.hosts(), "known" => node.links.known(),
-        "gained" => gained.join(","), "gained_count" => moves.gained.len(),
-        "lost" => lost.join(","), "lost_count" => moves.lost.len(),
-        "lag_ms" => millis(node.desk.lag(now)),
+        "homes" => node.links.candidate_count(), "known" => node.links.known_hosts(),
+        "gained" => gained.join(","), "gained_count" => changes.gained.len(),
+        "lost" => lost.join(","), "lost_count" => changes.lost.len(),
+        "lag_ms" => millis(node.scheduler.lag(now)),
     );
 }
 
@@ -334,7 +336,7 @@
             Timeouts::of(timeouts.grace_ms),
             Timeouts::of(timeouts.drain_ms),
         );
-        slog::info!(self.node.log, "leaving"; "held" => self.node.desk.held());
+        slog::info!(self.node.log, "leaving"; "held" => self.node.scheduler.held());
         self.node.begin_drain();
         let listeners = self.listeners;
         listeners.callers.close_after_answers();
@@ -348,7 +350,7 @@
             }
         };
         future::zip(listeners.callers.stop(limit), routes).await;
-        let cut = self.node.desk.held();
+        let cut = self.node.scheduler.held();
         listeners.operators.stop(OPERATORS_STOP_TIMEOUT).await;
         slog::info!(self.node.log, "left"; "cut" => cut);
         cut
--- a/cypressvane/src/transport/http/answer.rs
+++ b/cypressvane/src/transport/http/answer.rs
@@ -15,20 +15,20 @@
 /// When `value` has no JSON form or `status` is no valid status; both are programming errors.
 pub(crate) fn json<T: Serialize>(status: u16, value: &T) -> Response {
     let body = serde_json::to_vec(value).expect("plain values have a JSON form");
-    let mut response = plain(status, body);
+    let mut response = with_body(status, body);
     response.insert_header(CONTENT_TYPE, "application/json");
     response
 }
 
 /// Builds a text response.
 pub(crate) fn text(status: u16, body: impl Into<String>) -> Response {
-    let mut response = plain(status, body.into().into_bytes());
+    let mut response = with_body(status, body.into().into_bytes());
     response.insert_header(CONTENT_TYPE, "text/plain; charset=utf-8");
     response
 }
 
 /// Builds a response with a body of any type.
-pub(crate) fn plain(status: u16, body: Vec<u8>) -> Response {
+pub(crate) fn with_body(status: u16, body: Vec<u8>) -> Response {
     let status = StatusCode::try_from(status).expect("the program uses known statuses");
     let mut response = Response::new(status);
     response.set_body(body);
--- a/cypressvane/src/transport/http/client.rs
+++ b/cypressvane/src/transport/http/client.rs
@@ -91,11 +91,11 @@
 /// # Errors
 /// `Error::Unreachable` when no connection is established within `limit`.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Connection, Error> {
-    connect_noticing(address, limit, UNACKNOWLEDGED_TIMEOUT).await
+    connect_with_user_timeout(address, limit, UNACKNOWLEDGED_TIMEOUT).await
 }
 
 /// Opens a connection that breaks when sent data or keepalive probes stay unacknowledged for `unacknowledged`.
-pub(crate) async fn connect_noticing(
+pub(crate) async fn connect_with_user_timeout(
     address: SocketAddr,
     limit: Duration,
     unacknowledged: Duration,
@@ -108,7 +108,7 @@
     stream
         .set_nodelay(true)
         .map_err(|error| unreachable(error.to_string()))?;
-    keepalive::probe(&stream, unacknowledged).map_err(|error| unreachable(error.to_string()))?;
+    keepalive::enable(&stream, unacknowledged).map_err(|error| unreachable(error.to_string()))?;
     Ok(Connection {
         address,
         socket: Socket::new(stream),
@@ -141,7 +141,7 @@
 ///
 /// # Errors
 /// Fails when the body breaks off, takes longer than `limit`, or is larger than `bytes_max`.
-pub async fn read_whole(
+pub async fn read_body(
     address: SocketAddr,
     response: &mut Response,
     bytes_max: u64,
@@ -197,7 +197,7 @@
     let left = || end.saturating_duration_since(Instant::now());
     let connection = connect(address, left()).await?;
     let mut head = connection.send(request, left()).await?;
-    let body = read_whole(address, &mut head, bytes_max, left()).await?;
+    let body = read_body(address, &mut head, bytes_max, left()).await?;
     Ok(Reply { head, body })
 }
 
--- a/cypressvane/src/transport/http/keepalive.rs
+++ b/cypressvane/src/transport/http/keepalive.rs
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// When the system rejects an option.
-pub(crate) fn probe(stream: &TcpStream, limit: Duration) -> io::Result<()> {
+pub(crate) fn enable(stream: &TcpStream, limit: Duration) -> io::Result<()> {
     set_user_timeout(stream, limit)?;
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, PROBE_INTERVAL)?;
--- a/cypressvane/src/transport/http/keepalive_tests.rs
+++ b/cypressvane/src/transport/http/keepalive_tests.rs
@@ -11,7 +11,7 @@
 use rustix::net::sockopt;
 use smol::net::TcpStream;
 
-use super::probe;
+use super::enable;
 
 #[test]
 fn unanswered_probes_end_within_the_limit() {
@@ -45,7 +45,7 @@
         for case in cases {
             let stream = TcpStream::connect(address).await.expect("a connection");
             let limit = Duration::from_millis(case.limit_ms);
-            probe(&stream, limit).expect("the options are taken");
+            enable(&stream, limit).expect("the options are taken");
             let idle = sockopt::tcp_keepidle(&stream).expect("the idle time");
             let interval = sockopt::tcp_keepintvl(&stream).expect("the interval");
             let count = sockopt::tcp_keepcnt(&stream).expect("the count");
--- a/cypressvane/src/transport/http/listener.rs
+++ b/cypressvane/src/transport/http/listener.rs
@@ -11,14 +11,14 @@
 use smol::net::{TcpListener, TcpStream};
 use smol::{Task, Timer};
 
-use super::open::Count;
+use super::open_count::OpenCount;
 use crate::transport::runtime::spawn;
 
 /// Backoff after a failed `accept`.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
 /// Serves the connections of a listener.
-pub(crate) trait Service: Send + Sync + 'static {
+pub(crate) trait ConnectionHandler: Send + Sync + 'static {
     /// Serves the requests of one connection until it ends.
     fn serve(&self, stream: TcpStream, state: &State) -> impl Future<Output = ()> + Send;
 }
@@ -26,7 +26,7 @@
 /// State that all connections of a listener share.
 #[derive(Debug)]
 pub(crate) struct State {
-    open: Count,
+    open: OpenCount,
     closing: AtomicBool,
     /// Carries no messages; closed to make idle connections end.
     stopped: Receiver<()>,
@@ -59,21 +59,21 @@
     accepting: Option<Task<()>>,
 }
 
-/// Binds a listener whose connections `service` serves.
+/// Binds a listener whose connections `handler` serves.
 ///
 /// # Errors
 /// When the address cannot be bound.
-pub(crate) fn bind<S: Service>(address: SocketAddr, service: S) -> io::Result<Handle> {
+pub(crate) fn bind<S: ConnectionHandler>(address: SocketAddr, handler: S) -> io::Result<Handle> {
     let listener = std::net::TcpListener::bind(address)?;
     let listener = TcpListener::from(smol::Async::new(listener)?);
     let address = listener.local_addr()?;
     let (stop, stopped) = async_channel::bounded(1);
     let state = Arc::new(State {
-        open: Count::default(),
+        open: OpenCount::default(),
         closing: AtomicBool::new(false),
         stopped,
     });
-    let accepting = accept(listener, Arc::clone(&state), Arc::new(service));
+    let accepting = accept(listener, Arc::clone(&state), Arc::new(handler));
     Ok(Handle {
         address,
         state,
@@ -111,17 +111,17 @@
     }
 }
 
-async fn accept<S: Service>(listener: TcpListener, state: Arc<State>, service: Arc<S>) {
+async fn accept<S: ConnectionHandler>(listener: TcpListener, state: Arc<State>, handler: Arc<S>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             Timer::after(ACCEPT_RETRY).await;
             continue;
         };
         let open = state.open.enter();
-        let (state, service) = (Arc::clone(&state), Arc::clone(&service));
+        let (state, handler) = (Arc::clone(&state), Arc::clone(&handler));
         spawn(async move {
             let _open = open;
-            service.serve(stream, &state).await;
+            handler.serve(stream, &state).await;
         })
         .detach();
     }
--- a/cypressvane/src/transport/http/mod.rs
+++ b/cypressvane/src/transport/http/mod.rs
@@ -8,6 +8,6 @@
 pub(crate) mod head;
 pub(crate) mod keepalive;
 pub(crate) mod listener;
-mod open;
+mod open_count;
 pub mod server;
 mod socket;
--- a/cypressvane/src/transport/http/open.rs
+++ b/cypressvane/src/transport/http/open_count.rs
@@ -13,13 +13,13 @@
 
 /// The number of open connections.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Count(Arc<AtomicUsize>);
+pub(crate) struct OpenCount(Arc<AtomicUsize>);
 
 /// One open connection; dropping the guard removes it from the count.
 #[derive(Debug)]
-pub(crate) struct Guard(Count);
+pub(crate) struct Guard(OpenCount);
 
-impl Count {
+impl OpenCount {
     /// Counts one more until the guard is dropped.
     pub(crate) fn enter(&self) -> Guard {
         self.0.fetch_add(1, Ordering::Relaxed);
--- a/cypressvane/src/transport/http/server/connection.rs
+++ b/cypressvane/src/transport/http/server/connection.rs
@@ -10,7 +10,7 @@
 use http_types::{Method, Request, Response};
 use smol::net::TcpStream;
 
-use super::{Call, Endpoint, Options, too_slow};
+use super::{Endpoint, IncomingRequest, Options, too_slow};
 use crate::protocol::refusal::{Code, Reason};
 use crate::state::clock::Instant;
 use crate::transport::http::framing;
@@ -46,7 +46,7 @@
     pub(super) async fn serve(mut self, stream: &TcpStream) {
         // Tokens are small and must be sent at once. The error is ignored: without the option they are only delayed.
         let _ = stream.set_nodelay(true);
-        if self.state.open() > self.options.connections {
+        if self.state.open() > self.options.max_connections {
             let reason = Reason::new(Code::TooManyConnections, "too many connections are open");
             let response = self.endpoint.reject(reason);
             if self.write(response, Method::Get, true).await.is_ok() {
@@ -71,7 +71,7 @@
         let decoded = {
             // The library's future is large, so it is boxed and kept only until the head has arrived.
             let head = Box::pin(decode(self.socket.clone()));
-            within(self.options.head, head).await
+            within(self.options.head_timeout, head).await
         };
         let (request, body) = match decoded {
             Some(Ok(Some(decoded))) => decoded,
@@ -88,11 +88,11 @@
         let method = request.method();
         let announced = announced_body(&request);
         let mut keep_alive = wants_keep_alive(&request);
-        let call = Call {
+        let call = IncomingRequest {
             request,
             arrived: Instant::now(),
-            body_bytes: self.options.body_bytes,
-            body_time: self.options.body,
+            max_body_bytes: self.options.max_body_bytes,
+            body_timeout: self.options.body_timeout,
         };
         let answer = async { Some(self.endpoint.answer(call).await) };
         let hangup = async {
@@ -121,7 +121,7 @@
             self.state.stopped().await;
             false
         };
-        let arrives = within(self.options.idle, readable.or(stopped)).await;
+        let arrives = within(self.options.idle_timeout, readable.or(stopped)).await;
         arrives.unwrap_or(false)
     }
 
@@ -165,7 +165,7 @@
                 return self.socket.flush().await;
             }
             let written = self.socket.write_all(&buffer[..count]);
-            within(self.options.write, written)
+            within(self.options.write_timeout, written)
                 .await
                 .ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??;
         }
--- a/cypressvane/src/transport/http/server/mod.rs
+++ b/cypressvane/src/transport/http/server/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::protocol::refusal::{Code, Reason};
 use crate::state::clock::Instant;
-use crate::transport::http::listener::{self, Service, State};
+use crate::transport::http::listener::{self, ConnectionHandler, State};
 use crate::transport::http::socket::Socket;
 use crate::transport::runtime::within;
 
@@ -29,28 +29,28 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Largest request body, in bytes.
-    pub body_bytes: u64,
+    pub max_body_bytes: u64,
     /// Largest number of connections open at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time from the first byte of a request to the end of its head.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Time from the end of a request's head to the end of its body.
-    pub body: Duration,
+    pub body_timeout: Duration,
     /// How long a kept-alive connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long one write of an answer may block because the caller does not read.
-    pub write: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            body_bytes: 4 << 20,
-            connections: 16_384,
-            head: Duration::from_secs(10),
-            body: Duration::from_secs(30),
-            idle: Duration::from_secs(60),
-            write: Duration::from_secs(30),
+            max_body_bytes: 4 << 20,
+            max_connections: 16_384,
+            head_timeout: Duration::from_secs(10),
+            body_timeout: Duration::from_secs(30),
+            idle_timeout: Duration::from_secs(60),
+            write_timeout: Duration::from_secs(30),
         }
     }
 }
@@ -58,7 +58,7 @@
 /// Answers the requests of a listener.
 pub trait Endpoint: Send + Sync + 'static {
     /// Answers one request. The future is dropped when the caller hangs up.
-    fn answer(&self, call: Call) -> impl Future<Output = Response> + Send;
+    fn answer(&self, call: IncomingRequest) -> impl Future<Output = Response> + Send;
 
     /// Answers a request that was not read, for example because its head is malformed or too many connections are open.
     fn reject(&self, reason: Reason) -> Response;
@@ -66,34 +66,34 @@
 
 /// One request with its unread body.
 #[derive(Debug)]
-pub struct Call {
+pub struct IncomingRequest {
     /// Method, target, headers and body.
     pub request: Request,
     /// When its head was complete.
     pub arrived: Instant,
-    body_bytes: u64,
-    body_time: Duration,
+    max_body_bytes: u64,
+    body_timeout: Duration,
 }
 
-impl Call {
+impl IncomingRequest {
     /// Reads the whole body.
     ///
     /// # Errors
     /// When it is too large, arrives too slowly, or is broken.
     pub async fn body(&mut self) -> Result<Vec<u8>, Reason> {
         let too_large = || {
-            let message = format!("the body is larger than {} bytes", self.body_bytes);
+            let message = format!("the body is larger than {} bytes", self.max_body_bytes);
             Reason::new(Code::BodyTooLarge, message)
         };
         if self
             .request
             .len()
-            .is_some_and(|length| length as u64 > self.body_bytes)
+            .is_some_and(|length| length as u64 > self.max_body_bytes)
         {
             return Err(too_large());
         }
         let announced = self.request.len();
-        let end = self.arrived + self.body_time;
+        let end = self.arrived + self.body_timeout;
         let mut body = Vec::with_capacity(announced.unwrap_or(0));
         let mut buffer = vec![0; READ_BYTES];
         loop {
@@ -106,7 +106,7 @@
                 Some(Ok(count)) => count,
             };
             body.extend_from_slice(&buffer[..count]);
-            if body.len() as u64 > self.body_bytes {
+            if body.len() as u64 > self.max_body_bytes {
                 return Err(too_large());
             }
         }
@@ -140,13 +140,13 @@
     listener::bind(address, Server { options, endpoint })
 }
 
-/// The service that connects a listener to an endpoint.
+/// The connection handler that connects a listener to an endpoint.
 struct Server<E> {
     options: Options,
     endpoint: Arc<E>,
 }
 
-impl<E: Endpoint> Service for Server<E> {
+impl<E: Endpoint> ConnectionHandler for Server<E> {
     async fn serve(&self, stream: TcpStream, state: &State) {
         let connection = Connection {
             socket: Socket::new(stream.clone()),
--- a/cypressvane/src/transport/mod.rs
+++ b/cypressvane/src/transport/mod.rs
@@ -9,8 +9,8 @@
 //! | `platform` | the platform's table service and host list |
 //! | `operators` | operators and their tools |
 //!
-//! The path of a request: a listener of `callers` or `gateway` admits it (`admission`, `accounts`), it waits at the
-//! `desk` for a grant by its pool's home, and is sent on; `trace` counts and logs it.
+//! The path of a request: a listener of `callers` or `gateway` admits it (`admission`, `accounts`), it waits in the
+//! `scheduler` for a grant by its pool's home, and is sent on; `trace` counts and logs it.
 //! `quarantine` refuses requests under which backend servers end.
 //! `rollout` selects the version of a service for each request, and tries new versions.
 //! `host` starts the listeners and tasks around one `node`, which they share. `http` has what all listeners and
@@ -21,7 +21,6 @@
 mod admission;
 mod backend;
 mod callers;
-mod desk;
 mod gateway;
 pub mod host;
 pub mod http;
@@ -33,4 +32,5 @@
 mod quarantine;
 mod rollout;
 pub mod runtime;
+mod scheduler;
 mod trace;
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -21,12 +21,12 @@
 use crate::state::units::{millis, of_millis, since_epoch};
 use crate::transport::accounts::{Accounts, Charge};
 use crate::transport::active::Active;
-use crate::transport::desk::Desk;
 use crate::transport::metrics::Metrics;
 use crate::transport::peers::links::Links;
 use crate::transport::quarantine::Quarantine;
 use crate::transport::rollout::Rollouts;
 use crate::transport::runtime::{lock, within};
+use crate::transport::scheduler::Scheduler;
 
 /// Time without an answer from the configuration's source after which callers are sent elsewhere; longer than a slow
 /// answer takes.
@@ -50,7 +50,7 @@
     pub(crate) source: Option<Box<dyn Source>>,
     pub(crate) dialect: Dialect,
     pub(crate) links: Arc<Links>,
-    pub(crate) desk: Arc<Desk>,
+    pub(crate) scheduler: Arc<Scheduler>,
     pub(crate) accounts: Accounts,
     pub(crate) quarantine: Quarantine,
     pub(crate) rollouts: Rollouts,
@@ -105,7 +105,7 @@
         let incarnation = millis(since_epoch());
         let host = &config.host;
         let links = Arc::new(Links::new(host.clone(), &config.timeouts, incarnation));
-        let desk = Desk::new(&config, incarnation, Arc::clone(&links), log.clone());
+        let scheduler = Scheduler::new(&config, incarnation, Arc::clone(&links), log.clone());
         let accounts = Accounts::new(&config, Arc::clone(&links), log.clone());
         let quarantine = Quarantine::new(&config.quarantine, Arc::clone(&links), log.clone());
         let rollouts = Rollouts::new(&config, incarnation, Arc::clone(&links), log.clone());
@@ -119,7 +119,7 @@
             source: services.source,
             dialect,
             links,
-            desk: Arc::new(desk),
+            scheduler: Arc::new(scheduler),
             accounts,
             quarantine,
             rollouts,
@@ -204,7 +204,7 @@
         }
         self.active.store(Some(Arc::new(active)));
         self.note_begun();
-        self.links.tell_version(version);
+        self.links.announce_version(version);
         // A full channel means that the task has been woken already.
         let _ = self.signals.installed.try_send(());
         self.metrics
@@ -228,7 +228,7 @@
     pub(crate) fn share_budget(&self, now: Instant) {
         if self.links.has_roster() {
             let bounds = self.retry_bounds();
-            lock(&self.budget).set_host_count(self.links.known(), &bounds, now);
+            lock(&self.budget).set_host_count(self.links.known_hosts(), &bounds, now);
         }
     }
 
@@ -254,7 +254,7 @@
         let is_news = lost.is_some() == answers;
         if is_news {
             *lost = (!answers).then_some(now);
-            self.links.tell_cut_off(!answers);
+            self.links.announce_cut_off(!answers);
         }
         is_news
     }
@@ -353,7 +353,7 @@
     /// Marks this host as leaving, for the load balancer and the peers.
     pub(crate) fn begin_drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
-        self.links.tell_draining();
+        self.links.announce_draining();
     }
 
     /// This host's entry in the host list; `None` until it listens.
@@ -402,9 +402,9 @@
                 digest: digest.unwrap_or_default(),
                 table_read_ms_ago: lock(&self.lease).age(now).map(millis),
             },
-            held: self.desk.held() as u64,
+            held: self.scheduler.held() as u64,
             homes: self.links.homes(),
-            pools: self.desk.dump(now),
+            pools: self.scheduler.dump(now),
             peers: self.links.dump(now),
         }
     }
--- a/cypressvane/src/transport/operators/mod.rs
+++ b/cypressvane/src/transport/operators/mod.rs
@@ -20,7 +20,7 @@
 use crate::state::platform::Listing;
 use crate::transport::http::answer;
 use crate::transport::http::head::bearer;
-use crate::transport::http::server::{Call, Endpoint};
+use crate::transport::http::server::{Endpoint, IncomingRequest};
 use crate::transport::node::Node;
 use crate::transport::platform::follow;
 use submit::submit;
@@ -70,7 +70,7 @@
         Self { node }
     }
 
-    async fn serve(&self, request: Request<Received>, mut call: Call) -> Response {
+    async fn serve(&self, request: Request<Received>, mut call: IncomingRequest) -> Response {
         let path = call.request.url().path().to_owned();
         let method = call.request.method();
         match (method, path.as_str()) {
@@ -157,7 +157,7 @@
         }
     }
 
-    async fn submit(&self, operator: &str, call: &mut Call) -> Result<Response, Reason> {
+    async fn submit(&self, operator: &str, call: &mut IncomingRequest) -> Result<Response, Reason> {
         if self.node.source.is_some() {
             let message = "the platform's own operators keep the configuration";
             return Err(Reason::new(Code::Conflict, message));
@@ -216,7 +216,7 @@
     }
 
     /// Issues an order to the backend server named in the query.
-    async fn order(&self, operator: &str, call: &mut Call) -> Result<Response, Reason> {
+    async fn order(&self, operator: &str, call: &mut IncomingRequest) -> Result<Response, Reason> {
         let query: Query = query(&call.request)?;
         let body = call.body().await?;
         let order: Order = serde_json::from_slice(&body)
@@ -255,7 +255,7 @@
 }
 
 impl Endpoint for Operators {
-    async fn answer(&self, call: Call) -> Response {
+    async fn answer(&self, call: IncomingRequest) -> Response {
         self.serve(Request::receive(call.arrived), call).await
     }
 
--- a/cypressvane/src/transport/peers/links/well.rs
+++ b/cypressvane/src/transport/peers/links/candidates.rs
@@ -49,7 +49,7 @@
         &self,
         later: &[Name],
         ineligibility: impl Fn(&Name) -> Ineligibility,
-    ) -> Moves {
+    ) -> CandidateChanges {
         let lost = self
             .hosts
             .iter()
@@ -57,7 +57,7 @@
         let gained = later
             .iter()
             .filter(|name| self.hosts.binary_search(name).is_err());
-        Moves {
+        CandidateChanges {
             gained: gained.cloned().collect(),
             lost: lost
                 .map(|name| (name.clone(), ineligibility(name)))
@@ -68,7 +68,7 @@
 
 /// A change of the hosts that may be homes.
 #[derive(Debug)]
-pub(crate) struct Moves {
+pub(crate) struct CandidateChanges {
     /// Hosts that may be homes from now on.
     pub(crate) gained: Vec<Name>,
     /// Hosts that may no longer be homes, and why.
--- a/cypressvane/src/transport/peers/links/telling.rs
+++ b/cypressvane/src/transport/peers/links/heartbeat.rs
@@ -10,32 +10,32 @@
 
 impl Links {
     /// Sets the configuration version in the heartbeats.
-    pub(crate) fn tell_version(&self, version: u64) {
+    pub(crate) fn announce_version(&self, version: u64) {
         self.version.store(version, Ordering::Relaxed);
     }
 
     /// Marks this host as leaving in the heartbeats.
-    pub(crate) fn tell_draining(&self) {
+    pub(crate) fn announce_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
     /// Sets whether the heartbeats say that the platform does not answer this host.
-    pub(crate) fn tell_cut_off(&self, cut_off: bool) {
+    pub(crate) fn announce_cut_off(&self, cut_off: bool) {
         self.cut_off.store(cut_off, Ordering::Relaxed);
     }
 
     /// Sets how far this host itself has read the host list, as the heartbeats say.
-    pub(crate) fn tell_list_read(&self, read: Vec<u64>) {
+    pub(crate) fn announce_list_read(&self, read: Vec<u64>) {
         self.list_read.store(Arc::new(read));
     }
 
     /// Sets the digest of the rulings in the heartbeats.
-    pub(crate) fn tell_rulings(&self, digest: u64) {
+    pub(crate) fn announce_rulings(&self, digest: u64) {
         self.rulings.store(digest, Ordering::Relaxed);
     }
 
     /// Sets in the heartbeats that `version` was the newest at `stamp`, in milliseconds by the platform's clock.
-    pub(crate) fn tell_confirmed(&self, version: u64, stamp: u64) {
+    pub(crate) fn announce_confirmed(&self, version: u64, stamp: u64) {
         self.confirmed.store(Some(Arc::new((version, stamp))));
     }
 
--- a/cypressvane/src/transport/peers/links/link.rs
+++ b/cypressvane/src/transport/peers/links/link.rs
@@ -220,7 +220,8 @@
 pub(super) async fn run(links: Arc<Links>, link: Weak<Link>, address: SocketAddr, inbox: Inbox) {
     let mut timeout = CONNECT_TIMEOUT;
     loop {
-        let connection = client::connect_noticing(address, timeout, UNACKNOWLEDGED_MAX).await;
+        let connection =
+            client::connect_with_user_timeout(address, timeout, UNACKNOWLEDGED_MAX).await;
         let set_connected = |connected| {
             let Some(link) = link.upgrade() else { return };
             *lock(&link.connected) = connected;
--- a/cypressvane/src/transport/peers/links/mod.rs
+++ b/cypressvane/src/transport/peers/links/mod.rs
@@ -3,11 +3,11 @@
 //! Each host keeps one link to every other host: a long-lived HTTP request whose body carries frames in one direction.
 //! Answers come over the other host's own link.
 
+mod candidates;
 mod counters;
+mod heartbeat;
 mod link;
 mod silence;
-mod telling;
-mod well;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,9 +30,9 @@
 
 pub(crate) use counters::Counters;
 
+pub(crate) use candidates::CandidateChanges;
+use candidates::Candidates;
 use link::{Inbox, Link, View, run};
-use well::Candidates;
-pub(crate) use well::Moves;
 
 /// Most messages queued for a link. Further ones are dropped, since each is repeated or reconciled.
 const QUEUE_MAX: usize = 65_536;
@@ -180,7 +180,7 @@
     }
 
     /// Determines which hosts may be homes; returns the changes, if there are any.
-    pub(crate) fn refresh(&self, now: Instant) -> Option<Moves> {
+    pub(crate) fn refresh(&self, now: Instant) -> Option<CandidateChanges> {
         let links = self.peers.load();
         self.reconnect_silent(&links, now);
         let others = links
@@ -212,7 +212,7 @@
     }
 
     /// Number of hosts that may be homes, which are those that accept callers.
-    pub(crate) fn hosts(&self) -> u32 {
+    pub(crate) fn candidate_count(&self) -> u32 {
         u32::try_from(self.candidates.load().hosts.len()).unwrap_or(u32::MAX)
     }
 
@@ -228,7 +228,7 @@
 
     /// Factor by which the heartbeat interval and the suspicion timeout exceed their settings, at least 1.
     pub(crate) fn stretch(&self) -> f64 {
-        (f64::from(self.known()) / f64::from(HOSTS_UNSTRETCHED)).max(1.0)
+        (f64::from(self.known_hosts()) / f64::from(HOSTS_UNSTRETCHED)).max(1.0)
     }
 
     /// The data centre of a host, if known.
@@ -241,7 +241,7 @@
     }
 
     /// Number of known hosts, this one included, whether they may be homes or not.
-    pub(crate) fn known(&self) -> u32 {
+    pub(crate) fn known_hosts(&self) -> u32 {
         u32::try_from(self.peers.load().len() + 1).unwrap_or(u32::MAX)
     }
 
@@ -312,11 +312,11 @@
         ahead.into_iter().map(|link| link.address).collect()
     }
 
-    /// This host's rank for a task that a few hosts do for all, 0 being the first.
+    /// This host's position in the order for a task that a few hosts do for all; 0 is the first.
     ///
-    /// The hosts that may be homes and reach the platform are ranked in an order that depends on `subject`. Hosts that
+    /// The hosts that may be homes and reach the platform come first, in an order that depends on `subject`. Hosts that
     /// do not reach the platform come after them, in an order of their own.
-    pub(crate) fn place_for(&self, subject: &str) -> usize {
+    pub(crate) fn position_for(&self, subject: &str) -> usize {
         let links = self.peers.load();
         let is_cut_off = self.cut_off.load(Ordering::Relaxed);
         let reaches = |name: &&Name| match links.get(*name) {
@@ -327,13 +327,13 @@
         let reaching: Vec<Name> = candidates.hosts.iter().filter(reaches).cloned().collect();
         if is_cut_off {
             // If no host reaches the platform, a few still try for all, rather than every host.
-            return reaching.len() + self.place_among_known(subject);
+            return reaching.len() + self.position_among_known(subject);
         }
         home::position(subject, &reaching, &self.me.name)
     }
 
-    /// The same rank among all known hosts, whether they may be homes or not.
-    pub(crate) fn place_among_known(&self, subject: &str) -> usize {
+    /// The same position among all known hosts, whether they may be homes or not.
+    pub(crate) fn position_among_known(&self, subject: &str) -> usize {
         let known: Vec<Name> = self.peers.load().keys().cloned().collect();
         home::position(subject, &known, &self.me.name)
     }
@@ -354,7 +354,7 @@
         let heard = u32::try_from(heard.count() + 1).unwrap_or(u32::MAX);
         Share {
             represented: heard,
-            total: self.known(),
+            total: self.known_hosts(),
         }
     }
 
--- a/cypressvane/src/transport/peers/links/silence.rs
+++ b/cypressvane/src/transport/peers/links/silence.rs
@@ -20,7 +20,7 @@
     ///
     /// A host that resumes has yet to read the messages that arrived meanwhile. Without this it would take all others
     /// for dead, and itself for the home of every pool and account.
-    pub(crate) fn stood_still(&self, time: Duration, now: Instant) {
+    pub(crate) fn discount_suspension(&self, time: Duration, now: Instant) {
         let later = |at: Instant| (at + time).min(now);
         for link in self.peers.load().values() {
             let mut view = lock(&link.view);
@@ -74,7 +74,7 @@
     ///
     /// The next heartbeat tells the other host, since its own link may be the silent one. Later messages are then
     /// answered long before the host would be suspected.
-    pub(crate) fn doubt(&self, host: &Name, now: Instant) -> bool {
+    pub(crate) fn reconnect_unanswered(&self, host: &Name, now: Instant) -> bool {
         let links = self.peers.load();
         let Some(link) = links.get(host) else {
             return false;
--- a/cypressvane/src/transport/peers/links/silence_tests.rs
+++ b/cypressvane/src/transport/peers/links/silence_tests.rs
@@ -97,7 +97,7 @@
             "{}",
             case.name
         );
-        links.stood_still(Duration::from_millis(case.suspended_ms), resumed);
+        links.discount_suspension(Duration::from_millis(case.suspended_ms), resumed);
         let now = resumed + Duration::from_millis(case.silent_ms);
         links.refresh(now);
         assert_eq!(links.share(now).represented, case.heard, "{}", case.name);
@@ -144,7 +144,7 @@
         match event {
             Connected => *lock(&link.connected) = Some(now),
             Doubted(is_reconnected) => {
-                links.doubt(&link.name, now);
+                links.reconnect_unanswered(&link.name, now);
                 assert_eq!(link.take_doubt(), is_reconnected, "at {at} ms");
             }
         }
--- a/cypressvane/src/transport/peers/mod.rs
+++ b/cypressvane/src/transport/peers/mod.rs
@@ -19,7 +19,7 @@
 use crate::state::name::Name;
 use crate::transport::http::answer;
 use crate::transport::http::head::{bearer, header};
-use crate::transport::http::server::{Call, Endpoint};
+use crate::transport::http::server::{Endpoint, IncomingRequest};
 use crate::transport::node::Node;
 use crate::transport::platform::roster;
 
@@ -50,8 +50,8 @@
         while let Ok(messages) = read_frame(&mut request).await {
             let now = Instant::now();
             if self.node.links.note_received(&from, incarnation, now) {
-                self.node.desk.forget(&from, incarnation, now);
-                self.node.desk.repeat_limits(|home| *home == from, now);
+                self.node.scheduler.forget(&from, incarnation, now);
+                self.node.scheduler.repeat_limits(|home| *home == from, now);
             }
             for message in messages {
                 self.handle(&from, incarnation, message, now);
@@ -128,7 +128,7 @@
                 self.node.rollouts.hear_word(&word, now);
                 roster::follow_rollouts(&self.node);
             }
-            other => self.node.desk.handle(from, incarnation, other, now),
+            other => self.node.scheduler.handle(from, incarnation, other, now),
         }
     }
 
@@ -176,12 +176,12 @@
             return self.reject(Reason::new(Code::NotReady, "no configuration is in force"));
         };
         let packed = smol::unblock(move || active.packed().to_vec()).await;
-        answer::plain(200, packed)
+        answer::with_body(200, packed)
     }
 }
 
 impl Endpoint for Peers {
-    async fn answer(&self, call: Call) -> Response {
+    async fn answer(&self, call: IncomingRequest) -> Response {
         let request = call.request;
         if !self.is_authorized(&request) {
             let message = "the peer key or the protocol version is wrong";
--- a/cypressvane/src/transport/platform/roster.rs
+++ b/cypressvane/src/transport/platform/roster.rs
@@ -35,7 +35,7 @@
 /// Time after its start in which a host expects its links to connect: 294 of them took 4 s on hosts with 0.12 of a core
 /// that all started together.
 const STARTUP: Duration = Duration::from_secs(8);
-/// The subject by which hosts are ranked for tasks on the list that a few do for all.
+/// The subject by which hosts are ordered for tasks on the list that a few do for all.
 const LIST_SUBJECT: &str = "hosts";
 /// Slots of a server that names none, if its service is not configured yet.
 const SLOTS_DEFAULT: u32 = 1;
@@ -180,18 +180,18 @@
 /// How closely this host follows the list itself. Hosts that do not follow it closely learn of changes from those that
 /// do.
 ///
-/// Before its links are connected, a starting host counts only few hosts and ranks itself among the followers. For some
-/// seconds it also ranks itself among all hosts in the list, and is patient if it would not be a follower there.
+/// Before its links are connected, a starting host counts only few hosts and takes itself for a follower. For some
+/// seconds it also finds its position among all hosts in the list, and is patient if it would not be a follower there.
 pub(crate) fn attention(node: &Node) -> Attention {
     let followers = node.config.platform.list_followers;
     if followers == 0 || !node.links.has_roster() {
         return Attention::Close;
     }
-    if node.links.place_for(LIST_SUBJECT) >= followers {
+    if node.links.position_for(LIST_SUBJECT) >= followers {
         return Attention::Seldom;
     }
     let is_starting = node.started.elapsed() < STARTUP;
-    if is_starting && node.links.place_among_known(LIST_SUBJECT) >= followers {
+    if is_starting && node.links.position_among_known(LIST_SUBJECT) >= followers {
         return Attention::Patient;
     }
     Attention::Close
@@ -201,15 +201,15 @@
 /// follow it.
 fn is_announcer(node: &Node) -> bool {
     let followers = node.config.platform.list_followers;
-    let (eligible, known) = (node.links.hosts(), node.links.known());
+    let (eligible, known) = (node.links.candidate_count(), node.links.known_hosts());
     let all_follow = followers == 0 || known as usize <= followers;
     // Before its links are connected, a starting host counts only few hosts.
     let knows_most = 2 * eligible > known;
-    !all_follow && knows_most && node.links.place_for(LIST_SUBJECT) < followers.min(ANNOUNCERS)
+    !all_follow && knows_most && node.links.position_for(LIST_SUBJECT) < followers.min(ANNOUNCERS)
 }
 
 /// Announces the changes of the list that this host sees, for as long as it runs.
-pub(crate) async fn pass_on(node: Arc<Node>) {
+pub(crate) async fn announce_changes(node: Arc<Node>) {
     loop {
         let news = node.roster.news().await;
         if !is_announcer(&node) {
@@ -236,8 +236,8 @@
     if node.rollouts.take_moved() && node.links.has_roster() {
         let entries = node.listed.load_full();
         let now = Instant::now();
-        node.desk.set_specs(specs(node, &entries), now);
-        node.desk
+        node.scheduler.set_specs(specs(node, &entries), now);
+        node.scheduler
             .move_waiting(|service, pool| node.rollouts.successor(service, pool), now);
     }
 }
@@ -251,11 +251,11 @@
     node.listed.store(Arc::new(entries.to_vec()));
     let now = Instant::now();
     for gone in node.links.follow(entries) {
-        node.desk.forget(&gone, u64::MAX, now);
+        node.scheduler.forget(&gone, u64::MAX, now);
     }
     let servers = entries.iter().filter(|entry| is_local_server(node, entry));
     node.rollouts.note_listed(servers);
-    node.desk.set_specs(specs(node, entries), now);
+    node.scheduler.set_specs(specs(node, entries), now);
     node.quarantine.note_listed();
     node.note_begun();
 }
--- a/cypressvane/src/transport/platform/source.rs
+++ b/cypressvane/src/transport/platform/source.rs
@@ -15,7 +15,7 @@
 use crate::transport::node::Node;
 use crate::transport::runtime::within;
 
-/// The subject by which hosts are ranked to choose those that poll the configuration closely.
+/// The subject by which hosts are ordered to choose those that poll the configuration closely.
 const CONFIGURATION_SUBJECT: &str = "configuration";
 /// Number of hosts that poll closely for all: enough that two may fail at once.
 const POLLERS: usize = 3;
@@ -87,7 +87,7 @@
                         node.log, "the configuration could not be followed"; "cause" => %error
                     );
                 }
-                let for_all = node.links.place_among_known(CONFIGURATION_SUBJECT) < POLLERS;
+                let for_all = node.links.position_among_known(CONFIGURATION_SUBJECT) < POLLERS;
                 back_off(node, source, backoff.next_delay(for_all)).await;
             }
         }
@@ -149,14 +149,14 @@
     let is_stale = node
         .confirmed_ago()
         .is_none_or(|ago| ago >= CONFIRMED_AGE_MAX);
-    is_stale || node.links.place_for(CONFIGURATION_SUBJECT) < POLLERS
+    is_stale || node.links.position_for(CONFIGURATION_SUBJECT) < POLLERS
 }
 
 /// How long a close poll of this host waits.
 fn close_wait(node: &Node) -> Duration {
-    let place = node.links.place_for(CONFIGURATION_SUBJECT).min(POLLERS);
-    let place = u32::try_from(place).unwrap_or(0);
-    CLOSE_WAIT.saturating_sub(WAIT_STAGGER * place)
+    let position = node.links.position_for(CONFIGURATION_SUBJECT).min(POLLERS);
+    let position = u32::try_from(position).unwrap_or(0);
+    CLOSE_WAIT.saturating_sub(WAIT_STAGGER * position)
 }
 
 async fn poll(node: &Node, source: &dyn Source, wait: Duration) -> Result<(), Error> {
@@ -175,7 +175,7 @@
     }
     node.confirm(look.confirmed);
     if let Some(stamp) = look.stamp {
-        node.links.tell_confirmed(node.version(), stamp);
+        node.links.announce_confirmed(node.version(), stamp);
     }
     Ok(())
 }
--- a/cypressvane/src/transport/quarantine/mod.rs
+++ b/cypressvane/src/transport/quarantine/mod.rs
@@ -264,7 +264,7 @@
         let mut known = lock(&self.known);
         let changed = update(&mut known);
         self.is_empty.store(known.is_empty(), Ordering::Relaxed);
-        self.links.tell_rulings(known.digest());
+        self.links.announce_rulings(known.digest());
         changed
     }
 
@@ -290,7 +290,7 @@
     /// Schedules a write if this host is elected to write for all. The host that made a ruling writes it too, but may
     /// be killed first.
     fn schedule_write_if_elected(&self) {
-        if self.links.place_for(keeper::ROW_KEY) == 0 {
+        if self.links.position_for(keeper::ROW_KEY) == 0 {
             self.schedule_write();
         }
     }
--- a/cypressvane/src/transport/desk/place.rs
+++ b/cypressvane/src/transport/scheduler/held_request.rs
@@ -5,7 +5,7 @@
 
 use async_channel::Receiver;
 
-use super::{Desk, Stage, Word};
+use super::{Decision, Scheduler, Stage};
 use crate::coordination::pool::End;
 use crate::coordination::silent_shards::OfferTimer;
 use crate::protocol::message::Message;
@@ -16,31 +16,31 @@
 
 /// The handle of a held request; dropping it withdraws the request or returns its grant.
 #[derive(Debug)]
-pub(crate) struct Place {
-    pub(super) desk: Arc<Desk>,
+pub(crate) struct HeldRequest {
+    pub(super) scheduler: Arc<Scheduler>,
     pub(super) sequence: u64,
-    pub(super) decisions: Receiver<Word>,
+    pub(super) decisions: Receiver<Decision>,
     /// Longest pause between two events of the answer since the last grant.
     pub(super) longest_pause: Option<Duration>,
     pub(super) ended: bool,
 }
 
-impl Place {
+impl HeldRequest {
     /// Waits for the home's decision.
-    pub(crate) async fn word(&self) -> Word {
+    pub(crate) async fn decision(&self) -> Decision {
         let decision = self.decisions.recv().await;
         decision.expect("the sender exists for as long as the request is held")
     }
 
     /// Returns the grant because the server accepted no connection, and offers the request again.
-    pub(crate) fn unreachable(&mut self) {
-        self.again(End::Unreachable, None);
+    pub(crate) fn return_unreachable(&mut self) {
+        self.offer_again(End::Unreachable, None);
     }
 
     /// Sets the pool that serves the request from the next offer on.
     pub(crate) fn change_pool(&self, pool: &Name) {
-        if let Some(held) = lock(&self.desk.held).get_mut(&self.sequence) {
-            held.wish.pool = pool.clone();
+        if let Some(held) = lock(&self.scheduler.held).get_mut(&self.sequence) {
+            held.spec.pool = pool.clone();
         }
     }
 
@@ -48,12 +48,12 @@
     ///
     /// With `due`, the request waits until then and counts as one that a server has failed; otherwise its first-token
     /// deadline stays.
-    pub(crate) fn again(&mut self, end: End, due: Option<Instant>) {
+    pub(crate) fn offer_again(&mut self, end: End, due: Option<Instant>) {
         let now = Instant::now();
         let pause_ms = self.longest_pause.take().map(millis);
         let sequence = self.sequence;
         let (old, finish, home, offer) = {
-            let mut held = lock(&self.desk.held);
+            let mut held = lock(&self.scheduler.held);
             let Some(held) = held.get_mut(&sequence) else {
                 return;
             };
@@ -65,26 +65,26 @@
             };
             let stage = std::mem::replace(&mut held.stage, Stage::Waiting(OfferTimer::start(now)));
             if let Stage::Granted { server, .. } = stage {
-                held.wish.avoid = Some(server);
+                held.spec.avoid = Some(server);
             }
             if let Some(due) = due {
-                held.wish.first_token_deadline = due;
-                held.wish.returning = true;
+                held.spec.first_token_deadline = due;
+                held.spec.returning = true;
             }
             held.moved = false;
             held.without_server = 0;
-            let shard = self.desk.shard_for(&held.wish, now);
-            let old = held.reassign(&shard, self.desk.home_of(&shard), now);
+            let shard = self.scheduler.shard_for(&held.spec, now);
+            let old = held.reassign(&shard, self.scheduler.home_of(&shard), now);
             (old, finish, held.home.clone(), held.offer(sequence, now))
         };
-        self.desk.send(&old, finish, now);
-        self.desk.send(&home, offer, now);
+        self.scheduler.send(&old, finish, now);
+        self.scheduler.send(&home, offer, now);
     }
 
     /// Reports the first token to the home.
-    pub(crate) fn first_token(&self) {
+    pub(crate) fn report_first_token(&self) {
         let (home, shard) = {
-            let mut held = lock(&self.desk.held);
+            let mut held = lock(&self.scheduler.held);
             let Some(held) = held.get_mut(&self.sequence) else {
                 return;
             };
@@ -97,11 +97,11 @@
             shard,
             sequence: self.sequence,
         };
-        self.desk.send(&home, message, Instant::now());
+        self.scheduler.send(&home, message, Instant::now());
     }
 
     /// Records a pause between two events of the answer.
-    pub(crate) fn pause(&mut self, pause: Duration) {
+    pub(crate) fn note_pause(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(Some(pause));
     }
 
@@ -115,7 +115,7 @@
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let held = lock(&self.desk.held).remove(&self.sequence);
+        let held = lock(&self.scheduler.held).remove(&self.sequence);
         let Some(held) = held else { return };
         let (shard, sequence) = (held.shard, self.sequence);
         let message = match held.stage {
@@ -127,11 +127,11 @@
                 pause_ms: self.longest_pause.map(millis),
             },
         };
-        self.desk.send(&held.home, message, Instant::now());
+        self.scheduler.send(&held.home, message, Instant::now());
     }
 }
 
-impl Drop for Place {
+impl Drop for HeldRequest {
     fn drop(&mut self) {
         self.end(End::Unused);
     }
--- a/cypressvane/src/transport/desk/holder.rs
+++ b/cypressvane/src/transport/scheduler/holder.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use super::{Desk, Grant, Held, Place, Stage, Wish, Word};
+use super::{Decision, Grant, Held, HeldRequest, RequestSpec, Scheduler, Stage};
 use crate::coordination::shard::{Shard, Sharding};
 use crate::coordination::silent_shards::{OfferTimer, Step};
 use crate::protocol::message::{self, Made, Message};
@@ -13,20 +13,20 @@
 use crate::state::units::millis;
 use crate::transport::runtime::lock;
 
-impl Desk {
+impl Scheduler {
     /// Number of requests that this host holds.
     pub(crate) fn held(&self) -> usize {
         lock(&self.held).len()
     }
 
     /// Holds a request and offers it to its home.
-    pub(crate) fn hold(self: &Arc<Self>, wish: &Wish) -> Place {
+    pub(crate) fn hold(self: &Arc<Self>, spec: &RequestSpec) -> HeldRequest {
         let (sender, decisions) = async_channel::bounded(1);
         let sequence = self.next_sequence.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
-        let shard = self.shard_for(wish, now);
+        let shard = self.shard_for(spec, now);
         let held = Held {
-            wish: wish.clone(),
+            spec: spec.clone(),
             home: self.home_of(&shard),
             shard,
             moved: false,
@@ -38,8 +38,8 @@
         let home = held.home.clone();
         lock(&self.held).insert(sequence, held);
         self.send(&home, offer, now);
-        Place {
-            desk: Arc::clone(self),
+        HeldRequest {
+            scheduler: Arc::clone(self),
             sequence,
             decisions,
             longest_pause: None,
@@ -51,12 +51,12 @@
     ///
     /// A marked request goes to the shard that its mark stands for, so that a repeat of the caller reaches the same
     /// home. All others, and those that a server has failed, go to a random shard. Shards in backoff are avoided.
-    pub(super) fn shard_for(&self, wish: &Wish, now: Instant) -> Shard {
-        let marked = wish.mark.filter(|_| !wish.returning);
+    pub(super) fn shard_for(&self, spec: &RequestSpec, now: Instant) -> Shard {
+        let marked = spec.mark.filter(|_| !spec.returning);
         let point = marked.map_or_else(fastrand::f64, point_of);
-        let listed = self.listed.load();
-        let Some(sharding) = listed.shardings.get(&wish.pool) else {
-            return Shard::unsharded(wish.pool.clone());
+        let server_list = self.server_list.load();
+        let Some(sharding) = server_list.shardings.get(&spec.pool) else {
+            return Shard::unsharded(spec.pool.clone());
         };
         if sharding.count() == 1 {
             return sharding.pick(point, |_| false);
@@ -92,7 +92,7 @@
                     held.home = home.clone();
                     held.shard = shard.clone();
                     // The receiver exists for as long as the request is held, and takes one decision at a time.
-                    let _ = held.decisions.try_send(Word::Grant(grant));
+                    let _ = held.decisions.try_send(Decision::Grant(grant));
                     return;
                 }
                 // The home repeats a grant that has arrived already.
@@ -123,7 +123,7 @@
             let is_last = held.without_server >= held.shard.count;
             if reason.code != Code::NoServer || is_last {
                 // The receiver exists for as long as the request is held, and takes one decision at a time.
-                let _ = held.decisions.try_send(Word::Refuse(reason));
+                let _ = held.decisions.try_send(Decision::Refuse(reason));
                 return;
             }
             let shard = held.shard.sibling(held.shard.number + 1);
@@ -166,7 +166,7 @@
     }
 
     /// Repeats unanswered offers, or makes them to another shard.
-    pub(crate) fn offer_again(&self, now: Instant) {
+    pub(crate) fn retry_offers(&self, now: Instant) {
         let mut outgoing = Vec::new();
         let mut unanswered = Vec::new();
         let mut doubted_homes = Vec::new();
@@ -185,7 +185,7 @@
             }
         }
         for home in doubted_homes {
-            self.doubt(&home, now);
+            self.reconnect_unanswered(&home, now);
         }
         for (home, offer) in outgoing {
             self.send(&home, offer, now);
@@ -196,8 +196,8 @@
     }
 
     /// Reconnects the link to a home that leaves an offer unanswered.
-    fn doubt(&self, home: &Name, now: Instant) {
-        if self.links.doubt(home, now) {
+    fn reconnect_unanswered(&self, home: &Name, now: Instant) {
+        if self.links.reconnect_unanswered(home, now) {
             slog::info!(
                 self.log, "a link is made anew, since an ask got no word over it";
                 "host" => &**home, "asked" => "an offer",
@@ -213,8 +213,8 @@
                 return;
             };
             lock(&self.silent_shards).note_silence(&held.shard, now);
-            self.doubt(&held.home, now);
-            let shard = self.shard_for(&held.wish, now);
+            self.reconnect_unanswered(&held.home, now);
+            let shard = self.shard_for(&held.spec, now);
             slog::info!(
                 self.log, "a pool's home gives no word on an offer";
                 "home" => &*held.home, "shard" => held.shard.subject(),
@@ -233,10 +233,10 @@
 
     /// Moves the held requests to their new homes after the hosts that may be homes, or the shards, have changed.
     pub(crate) fn rehome(&self, now: Instant) {
-        let listed = self.listed.load();
+        let server_list = self.server_list.load();
         let mut outgoing = Vec::new();
         for (sequence, held) in lock(&self.held).iter_mut() {
-            let sharding = listed.shardings.get(&held.wish.pool);
+            let sharding = server_list.shardings.get(&held.spec.pool);
             let shard = match sharding.filter(|sharding| sharding.count() != held.shard.count) {
                 None => held.shard.clone(),
                 Some(sharding) => self.reassigned_shard(sharding, held, now),
@@ -256,7 +256,7 @@
         for (home, message) in outgoing {
             self.send(&home, message, now);
         }
-        self.create_home_pools(&listed);
+        self.create_home_pools(&server_list);
         self.repeat_limits(|_| false, now);
     }
 
@@ -273,11 +273,11 @@
             if !matches!(held.stage, Stage::Waiting(_)) {
                 continue;
             }
-            let Some(pool) = successor(&held.wish.service, &held.wish.pool) else {
+            let Some(pool) = successor(&held.spec.service, &held.spec.pool) else {
                 continue;
             };
-            held.wish.pool = pool;
-            let shard = self.shard_for(&held.wish, now);
+            held.spec.pool = pool;
+            let shard = self.shard_for(&held.spec, now);
             let withdraw = Message::Withdraw {
                 shard: held.shard.clone(),
                 sequence: *sequence,
@@ -296,7 +296,7 @@
     fn reassigned_shard(&self, sharding: &Sharding, held: &Held, now: Instant) -> Shard {
         match &held.stage {
             Stage::Granted { server, .. } => sharding.shard_of(server),
-            Stage::Waiting(_) => self.shard_for(&held.wish, now),
+            Stage::Waiting(_) => self.shard_for(&held.spec, now),
         }
     }
 }
@@ -304,7 +304,7 @@
 impl Held {
     /// The offer of this request to its home.
     pub(super) fn offer(&self, sequence: u64, now: Instant) -> Message {
-        let wish = &self.wish;
+        let spec = &self.spec;
         let made = match self.stage {
             Stage::Waiting(timer) if timer.is_ack_requested() => Made::Again,
             _ if self.moved => Made::Moved,
@@ -314,20 +314,20 @@
             shard: self.shard.clone(),
             sequence,
             made,
-            rank: wish.rank,
-            priority: wish.priority,
-            prompt_tokens: wish.prompt_tokens,
-            waited_ms: millis(now.saturating_duration_since(wish.arrived)),
-            left_ms: millis(wish.first_token_deadline.saturating_duration_since(now)),
-            first_token_ms: millis(wish.first_token_target),
-            pause_ms: millis(wish.pause),
-            answer_tokens: wish.answer_tokens,
-            whole_ms: millis(wish.answer_deadline.saturating_duration_since(now)),
-            avoid: wish.avoid.clone(),
-            early: wish.early,
-            returning: wish.returning,
-            mark: wish.mark,
-            opening: wish.opening,
+            rank: spec.rank,
+            priority: spec.priority,
+            prompt_tokens: spec.prompt_tokens,
+            waited_ms: millis(now.saturating_duration_since(spec.arrived)),
+            left_ms: millis(spec.first_token_deadline.saturating_duration_since(now)),
+            first_token_ms: millis(spec.first_token_target),
+            pause_ms: millis(spec.pause),
+            answer_tokens: spec.answer_tokens,
+            whole_ms: millis(spec.answer_deadline.saturating_duration_since(now)),
+            avoid: spec.avoid.clone(),
+            early: spec.early,
+            returning: spec.returning,
+            mark: spec.mark,
+            opening: spec.opening,
         })
     }
 
@@ -341,7 +341,7 @@
                 shard: self.shard.clone(),
                 sequence,
                 server: server.clone(),
-                prompt_tokens: self.wish.prompt_tokens,
+                prompt_tokens: self.spec.prompt_tokens,
                 prefilled: *prefilled,
             },
         }
--- a/cypressvane/src/transport/desk/homes.rs
+++ b/cypressvane/src/transport/scheduler/homes.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use super::listed::{Listed, Specs};
+use super::server_list::{ServerList, Specs};
 use super::tally::Tally;
-use super::{Desk, Grant};
+use super::{Grant, Scheduler};
 use crate::coordination::policy::Queue;
 use crate::coordination::pool::{Action, Offer, Pool, Spec};
 use crate::coordination::shard::{Shard, Sharding};
@@ -34,7 +34,7 @@
     logged_at: Instant,
 }
 
-impl Desk {
+impl Scheduler {
     /// Updates a pool, logs the changes of its servers, and sends its decisions to the holders.
     pub(super) fn update_pool(&self, shard: &Shard, decide: impl FnOnce(&mut Pool) -> Vec<Action>) {
         let local = self.pool(shard);
@@ -89,7 +89,7 @@
         let pool = pools.entry(shard.clone()).or_insert_with(|| {
             let service = shard.service.clone();
             let mut pool = Pool::believing(service, self.waiting_max, self.belief);
-            let specs = self.listed.load().servers_of(shard);
+            let specs = self.server_list.load().servers_of(shard);
             // A new pool has no queue, so there is nothing to grant.
             let now = Instant::now();
             pool.set_servers(&specs, now);
@@ -149,32 +149,32 @@
 
     /// Sets the servers of each pool, as the host list names them.
     pub(crate) fn set_specs(&self, specs: HashMap<Name, Vec<Spec>>, now: Instant) {
-        let listed = Arc::new(Listed::of(specs));
-        let before = self.listed.swap(Arc::clone(&listed));
-        self.note_departed(&before.specs, &listed.specs, now);
+        let server_list = Arc::new(ServerList::of(specs));
+        let before = self.server_list.swap(Arc::clone(&server_list));
+        self.note_departed(&before.specs, &server_list.specs, now);
         for shard in self.shards() {
-            let specs = listed.servers_of(&shard);
+            let specs = server_list.servers_of(&shard);
             self.update_pool(&shard, |pool| pool.set_servers(&specs, now));
         }
-        if !before.has_same_shard_counts(&listed) {
+        if !before.has_same_shard_counts(&server_list) {
             self.rehome(now);
         }
-        self.create_home_pools(&listed);
-        self.drop_obsolete(&listed);
+        self.create_home_pools(&server_list);
+        self.drop_obsolete(&server_list);
     }
 
     /// Creates the pools whose home this host is, so that it reports their idle places before the first offer.
-    pub(super) fn create_home_pools(&self, listed: &Listed) {
-        let shards = listed.shardings.values().flat_map(Sharding::shards);
+    pub(super) fn create_home_pools(&self, server_list: &ServerList) {
+        let shards = server_list.shardings.values().flat_map(Sharding::shards);
         for shard in shards.filter(|shard| self.home_of(shard) == self.me) {
             self.pool(&shard);
         }
     }
 
     /// Drops empty pools of shards that no longer exist because the number of shards has changed.
-    fn drop_obsolete(&self, listed: &Listed) {
+    fn drop_obsolete(&self, server_list: &ServerList) {
         lock(&self.pools).retain(|shard, local| {
-            let sharding = listed.shardings.get(&shard.service);
+            let sharding = server_list.shardings.get(&shard.service);
             let is_current = sharding.is_none_or(|sharding| sharding.count() == shard.count);
             let local = &lock(local).pool;
             is_current || local.waiting() > 0 || local.running() > 0
@@ -202,8 +202,8 @@
     /// Whether this host's own list marks a server as leaving or no longer has it. The home that granted the server may
     /// have an older list.
     pub(crate) fn is_leaving(&self, pool: &Name, server: &Name) -> bool {
-        let listed = self.listed.load();
-        let spec = listed
+        let server_list = self.server_list.load();
+        let spec = server_list
             .specs
             .get(pool)
             .and_then(|specs| specs.iter().find(|spec| spec.name == *server));
--- a/cypressvane/src/transport/desk/limits.rs
+++ b/cypressvane/src/transport/scheduler/limits.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use super::{Desk, Place, Stage};
+use super::{HeldRequest, Scheduler, Stage};
 use crate::coordination::pool::{Action, Pool, ReportedLimit, Ticket};
 use crate::coordination::shard::Shard;
 use crate::protocol::exchange::Limit;
@@ -45,12 +45,12 @@
     shard: Shard,
 }
 
-impl Place {
+impl HeldRequest {
     /// Reports the limit in an answer of the granted server to the home.
     ///
     /// An answer without a limit is reported only if the home or this host knew of one, which it ends.
-    pub(crate) fn hear_limit(&self, named: Limit, metrics: &Metrics) {
-        let is_none_cached = self.desk.cached_limit_count.load(Ordering::Relaxed) == 0;
+    pub(crate) fn report_limit(&self, named: Limit, metrics: &Metrics) {
+        let is_none_cached = self.scheduler.cached_limit_count.load(Ordering::Relaxed) == 0;
         if named == Limit::Unnamed && is_none_cached && !self.is_limited() {
             return;
         }
@@ -63,10 +63,10 @@
             Limit::Unnamed => None,
             Limit::Malformed => {
                 metrics.malformed_limits.inc();
-                return self.desk.log_malformed(&granted.server, now);
+                return self.scheduler.log_malformed(&granted.server, now);
             }
         };
-        let was_limited = self.desk.cache_limit(&granted, per_second, now);
+        let was_limited = self.scheduler.cache_limit(&granted, per_second, now);
         if per_second.is_none() && !granted.limited && !was_limited {
             return;
         }
@@ -78,19 +78,19 @@
                 per_second,
             },
         };
-        self.desk.send(&granted.home, message, now);
+        self.scheduler.send(&granted.home, message, now);
     }
 
     /// Whether the home knew a limit of the server when it granted the request.
     fn is_limited(&self) -> bool {
-        let held = lock(&self.desk.held);
+        let held = lock(&self.scheduler.held);
         let stage = held.get(&self.sequence).map(|held| &held.stage);
         matches!(stage, Some(Stage::Granted { limited: true, .. }))
     }
 
     /// The grant of the request, if it has one.
     fn granted(&self) -> Option<Granted> {
-        let held = lock(&self.desk.held);
+        let held = lock(&self.scheduler.held);
         let held = held.get(&self.sequence)?;
         match &held.stage {
             Stage::Granted {
@@ -106,7 +106,7 @@
     }
 }
 
-impl Desk {
+impl Scheduler {
     /// Caches the limit that an answer names, or removes it if it names none; returns whether one was cached before.
     fn cache_limit(&self, granted: &Granted, per_second: Option<f64>, now: Instant) -> bool {
         let server = &granted.server;
@@ -159,16 +159,16 @@
         if self.cached_limit_count.load(Ordering::Relaxed) == 0 {
             return;
         }
-        let listed = self.listed.load();
+        let server_list = self.server_list.load();
         let is_listed = |server: &Name, limit: &CachedLimit| {
-            let specs = listed.specs.get(&limit.pool);
+            let specs = server_list.specs.get(&limit.pool);
             specs.is_some_and(|specs| specs.iter().any(|spec| spec.name == *server))
         };
         let mut outgoing = Vec::new();
         self.update_cached_limits(|cached| {
             cached.retain(|server, limit| is_listed(server, limit));
             for (server, limit) in cached.iter_mut() {
-                let Some(sharding) = listed.shardings.get(&limit.pool) else {
+                let Some(sharding) = server_list.shardings.get(&limit.pool) else {
                     continue;
                 };
                 let shard = sharding.shard_of(server);
--- a/cypressvane/src/transport/desk/mod.rs
+++ b/cypressvane/src/transport/scheduler/mod.rs
@@ -3,13 +3,13 @@
 //! As a holder, the host offers each waiting request to the home of its pool and receives the home's decision. As a
 //! home, it keeps the pool's queue. A host that is its own home handles its messages directly and sends nothing.
 
+mod held_request;
 mod holder;
 mod homes;
 mod limits;
-mod listed;
-mod moves;
-mod place;
 mod reconcile;
+mod redirect;
+mod server_list;
 mod tally;
 
 use std::collections::HashMap;
@@ -34,10 +34,10 @@
 use crate::state::name::Name;
 use crate::transport::peers::links::Links;
 
+pub(crate) use held_request::HeldRequest;
 use homes::LocalPool;
 use limits::CachedLimit;
-use listed::Listed;
-pub(crate) use place::Place;
+use server_list::ServerList;
 
 /// Interval at which the pools check deadlines and servers in backoff.
 pub(crate) const TICK: Duration = Duration::from_millis(20);
@@ -59,7 +59,7 @@
 
 /// The home's decision on a waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Word {
+pub(crate) enum Decision {
     /// The request may be sent to this server.
     Grant(Grant),
     /// The request is refused for this reason.
@@ -68,7 +68,7 @@
 
 /// What the scheduler needs to know of a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Wish {
+pub(crate) struct RequestSpec {
     pub(crate) service: Name,
     /// The pool of the service's servers that serves the request.
     pub(crate) pool: Name,
@@ -110,7 +110,7 @@
 
 #[derive(Debug)]
 struct Held {
-    wish: Wish,
+    spec: RequestSpec,
     shard: Shard,
     home: Name,
     /// Whether another shard has passed the request on.
@@ -118,12 +118,12 @@
     /// Number of shards that have refused the request for lack of a server since it started to wait.
     without_server: u16,
     stage: Stage,
-    decisions: Sender<Word>,
+    decisions: Sender<Decision>,
 }
 
 /// The scheduling state of this host, as a holder and as a home.
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct Scheduler {
     me: Name,
     incarnation: u64,
     waiting_max: usize,
@@ -134,7 +134,7 @@
     next_sequence: AtomicU64,
     held: Mutex<HashMap<u64, Held>>,
     pools: Mutex<HashMap<Shard, Arc<Mutex<LocalPool>>>>,
-    listed: ArcSwap<Listed>,
+    server_list: ArcSwap<ServerList>,
     /// Shards whose homes leave offers unanswered.
     silent_shards: Mutex<SilentShards>,
     /// Idle places that other shards have reported.
@@ -155,7 +155,7 @@
     malformed_logged_at: Mutex<Option<Instant>>,
 }
 
-impl Desk {
+impl Scheduler {
     pub(crate) fn new(config: &Config, incarnation: u64, links: Arc<Links>, log: Logger) -> Self {
         Self {
             me: config.host.name.clone(),
@@ -167,7 +167,7 @@
             next_sequence: AtomicU64::new(1),
             held: Mutex::new(HashMap::new()),
             pools: Mutex::new(HashMap::new()),
-            listed: ArcSwap::default(),
+            server_list: ArcSwap::default(),
             silent_shards: Mutex::default(),
             idle: Mutex::default(),
             reconciled_at: Mutex::default(),
--- a/cypressvane/src/transport/desk/reconcile.rs
+++ b/cypressvane/src/transport/scheduler/reconcile.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{Desk, RECONCILE_AFTER, Stage};
+use super::{RECONCILE_AFTER, Scheduler, Stage};
 use crate::coordination::shard::Shard;
 use crate::protocol::message::Message;
 use crate::state::clock::Instant;
@@ -16,7 +16,7 @@
 /// Rounds for which a home still gets empty reports after the last of its grants to this host has ended.
 const EMPTY_REPORTS: u32 = 3;
 
-impl Desk {
+impl Scheduler {
     /// Reports to each home which of its grants are still in use.
     ///
     /// The interval grows with the number of hosts, since a home gets a report from each of them. A home whose link was
--- a/cypressvane/src/transport/desk/moves.rs
+++ b/cypressvane/src/transport/scheduler/redirect.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Desk;
+use super::Scheduler;
 use crate::coordination::pool::Ticket;
 use crate::coordination::shard::Shard;
 use crate::protocol::message::Message;
@@ -15,7 +15,7 @@
 /// Most other shards to which a home reports its idle places, so that it sends no more in a larger service.
 const IDLE_REPORTS_MAX: u16 = 8;
 
-impl Desk {
+impl Scheduler {
     /// The shard that should get a new offer instead: this one has no idle place, or its home lags, and the other one
     /// has reported idle places.
     pub(super) fn redirect_target(
@@ -39,7 +39,7 @@
     }
 
     /// Reports the idle places of this host's shards to the homes of other shards; a home that lags reports none.
-    pub(crate) fn tell_idle(&self, now: Instant) {
+    pub(crate) fn report_idle(&self, now: Instant) {
         lock(&self.idle).sweep(now);
         let is_lagging = self.is_lagging(now);
         for (shard, local) in self.local_pools() {
--- a/cypressvane/src/transport/desk/listed.rs
+++ b/cypressvane/src/transport/scheduler/server_list.rs
@@ -11,12 +11,12 @@
 
 /// The servers in the host list, and the shards of each pool.
 #[derive(Debug, Default)]
-pub(super) struct Listed {
+pub(super) struct ServerList {
     pub(super) specs: Specs,
     pub(super) shardings: HashMap<Name, Sharding>,
 }
 
-impl Listed {
+impl ServerList {
     pub(super) fn of(specs: Specs) -> Self {
         let sharding = |(service, specs): (&Name, &Vec<Spec>)| {
             (service.clone(), Sharding::new(service.clone(), specs))
@@ -37,8 +37,8 @@
 
     /// Whether each pool has the same number of shards in both lists.
     pub(super) fn has_same_shard_counts(&self, other: &Self) -> bool {
-        let counts = |listed: &Self| -> HashMap<Name, u16> {
-            let shardings = listed.shardings.iter();
+        let counts = |server_list: &Self| -> HashMap<Name, u16> {
+            let shardings = server_list.shardings.iter();
             shardings
                 .map(|(service, sharding)| (service.clone(), sharding.count()))
                 .collect()
--- a/cypressvane/src/transport/trace.rs
+++ b/cypressvane/src/transport/trace.rs
@@ -9,9 +9,9 @@
 use crate::state::name::Name;
 use crate::state::units::millis;
 use crate::transport::accounts::Charge;
-use crate::transport::desk::Grant;
 use crate::transport::metrics::Times;
 use crate::transport::node::Node;
+use crate::transport::scheduler::Grant;
 
 /// The outcome of a request whose whole answer was relayed.
 pub(crate) const ANSWERED: &str = "answered";
--- a/cypressvane_standin/src/engine/mod.rs
+++ b/cypressvane_standin/src/engine/mod.rs
@@ -18,7 +18,7 @@
 use cypressvane::prompt::{Call as Completion, Prompt};
 use cypressvane::refusal::Reason;
 use cypressvane::runtime;
-use cypressvane::server::{self, Call, Endpoint, Options};
+use cypressvane::server::{self, Endpoint, IncomingRequest, Options};
 use http_types::{Method, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 use smol::{Task, Timer};
@@ -244,7 +244,7 @@
         answer::empty(StatusCode::Ok)
     }
 
-    async fn complete(&self, kind: Completion, call: &mut Call) -> Response {
+    async fn complete(&self, kind: Completion, call: &mut IncomingRequest) -> Response {
         let body = match call.body().await {
             Ok(body) => body,
             Err(reason) => return answer::rejected(&reason),
@@ -311,7 +311,7 @@
 }
 
 impl Endpoint for Engine {
-    async fn answer(&self, mut call: Call) -> Response {
+    async fn answer(&self, mut call: IncomingRequest) -> Response {
         let path = call.request.url().path().to_owned();
         match (call.request.method(), path.as_str()) {
             (Method::Post, "/v1/completions") => {
--- a/cypressvane_standin/src/plain.rs
+++ b/cypressvane_standin/src/plain.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cypressvane::refusal::Reason;
-use cypressvane::server::{self, Call, Endpoint, Options};
+use cypressvane::server::{self, Endpoint, IncomingRequest, Options};
 use http_types::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 use smol::Timer;
@@ -81,7 +81,7 @@
 }
 
 impl Endpoint for Plain {
-    async fn answer(&self, mut call: Call) -> Response {
+    async fn answer(&self, mut call: IncomingRequest) -> Response {
         if call.request.url().path() == "/ledger" {
             return answer::json(StatusCode::Ok, &*self.seen());
         }
--- a/cypressvane_standin/src/platform.rs
+++ b/cypressvane_standin/src/platform.rs
@@ -8,7 +8,7 @@
 
 use cypressvane::platform::{Entry, Row};
 use cypressvane::refusal::Reason;
-use cypressvane::server::{self, Call, Endpoint, Options};
+use cypressvane::server::{self, Endpoint, IncomingRequest, Options};
 use http_types::headers::{ETAG, IF_NONE_MATCH};
 use http_types::{Method, Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -104,7 +104,7 @@
 pub fn bind(address: SocketAddr) -> io::Result<Handle> {
     let platform = Arc::new(Platform::default());
     let options = Options {
-        body_bytes: 64 << 20,
+        max_body_bytes: 64 << 20,
         ..Options::default()
     };
     let server = server::bind(address, options, Arc::clone(&platform))?;
@@ -225,7 +225,7 @@
 }
 
 impl Endpoint for Platform {
-    async fn answer(&self, mut call: Call) -> Response {
+    async fn answer(&self, mut call: IncomingRequest) -> Response {
         let path = call.request.url().path().to_owned();
         let method = call.request.method();
         let body = match call.body().await {
