--- a/cypressvane/src/coordination/admission/forecast.rs
+++ b/cypressvane/src/coordination/admission/forecast.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::state::clock::Instant;
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Grants per second below which no forecast is made: about one grant in the last few seconds.
 const GRANT_RATE_MIN: f64 = 0.1;
@@ -49,6 +49,6 @@
     pub(crate) fn wait(&self, ahead: usize, now: Instant) -> Option<Duration> {
         let rate = self.rate(now);
         (rate >= GRANT_RATE_MIN)
-            .then(|| Duration::from_secs_f64((real(ahead as u64) / rate).min(1e6)))
+            .then(|| Duration::from_secs_f64((to_f64(ahead as u64) / rate).min(1e6)))
     }
 }
--- a/cypressvane/src/coordination/admission/mod.rs
+++ b/cypressvane/src/coordination/admission/mod.rs
@@ -158,7 +158,7 @@
             let _ = write!(message, "; its servers take {limits:.1} requests a second");
         }
         let wait = self.book_return(offer, now);
-        Reason::later(Code::DeadlineUnreachable, message, wait)
+        Reason::with_retry_after(Code::DeadlineUnreachable, message, wait)
     }
 }
 
--- a/cypressvane/src/coordination/admission/returns.rs
+++ b/cypressvane/src/coordination/admission/returns.rs
@@ -6,7 +6,7 @@
 use crate::coordination::admission::forecast::GrantRate;
 use crate::coordination::offer::Offer;
 use crate::state::clock::Instant;
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Minimum time after which a refused caller is asked to retry: its round trip, plus the time of some tens of grants.
 const RETURN_MIN: Duration = Duration::from_millis(250);
@@ -74,7 +74,7 @@
 fn spread(sequence: u64) -> f64 {
     /// Fractional part of the golden ratio, whose multiples modulo 1 have this property.
     const STEP: f64 = 0.618_033_988_749_895;
-    (real(sequence) * STEP).fract()
+    (to_f64(sequence) * STEP).fract()
 }
 
 fn is_fresh(at: Instant, now: Instant) -> bool {
--- a/cypressvane/src/coordination/limit/mod.rs
+++ b/cypressvane/src/coordination/limit/mod.rs
@@ -16,7 +16,7 @@
 use crate::state::clock::Instant;
 use crate::state::fleet::Account;
 use crate::state::name::Name;
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 pub use crate::coordination::limit::bucket::Tolerance;
 
@@ -66,7 +66,7 @@
     fn of_limit(self, limit: u32) -> f64 {
         let known = u64::from(self.total.max(1));
         let heard = u64::from(self.represented).min(known);
-        real((u64::from(limit) * heard).div_ceil(known))
+        to_f64((u64::from(limit) * heard).div_ceil(known))
     }
 
     /// Returns the tolerance with this share of its slack. The slack is not rounded, so all shares add up to no more
--- a/cypressvane/src/coordination/pool/intake.rs
+++ b/cypressvane/src/coordination/pool/intake.rs
@@ -7,7 +7,7 @@
 use crate::coordination::offer::{Action, Offer};
 use crate::state::clock::Instant;
 use crate::state::reason::{Code, Reason};
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Minimum delay after which a refused caller is asked to retry.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
@@ -60,7 +60,7 @@
             "the queue of {} is longer than the deadline allows",
             self.service
         );
-        Some(Reason::later(
+        Some(Reason::with_retry_after(
             Code::DeadlineUnreachable,
             message,
             clamp_retry_after(ahead + soonest),
@@ -71,7 +71,10 @@
     pub(super) fn refuse_without_server(&mut self, offer: Offer, now: Instant) -> Action {
         let message = format!("no backend server of {} takes work", self.service);
         let wait = self.retry_after(&offer, RETRY_AFTER_MIN, now);
-        refuse(offer, Reason::later(Code::NoServer, message, wait))
+        refuse(
+            offer,
+            Reason::with_retry_after(Code::NoServer, message, wait),
+        )
     }
 
     /// Time after which the caller of a refused offer should retry.
@@ -100,7 +103,7 @@
         if rate <= 0.0 {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64(real(tokens) / rate)
+        Duration::from_secs_f64(to_f64(tokens) / rate)
     }
 
     /// Refuses the last offer of the lowest waiting tier, since the queue is full.
@@ -111,7 +114,7 @@
         let message = format!("the queue of {} is full", self.service);
         Some(refuse(
             offer,
-            Reason::later(Code::Overloaded, message, wait),
+            Reason::with_retry_after(Code::Overloaded, message, wait),
         ))
     }
 
--- a/cypressvane/src/coordination/pool/mod.rs
+++ b/cypressvane/src/coordination/pool/mod.rs
@@ -19,7 +19,7 @@
 pub use crate::coordination::server::pacing::ReportedLimit;
 use crate::coordination::servers::{LimitChange, Servers, StateChange};
 use crate::state::clock::Instant;
-pub use crate::state::config::Belief;
+pub use crate::state::config::EngineDefaults;
 use crate::state::name::Name;
 
 /// A granted request that has not ended.
@@ -51,16 +51,16 @@
     /// Creates a pool without servers; `waiting_max` is the maximum length of its queue.
     #[must_use]
     pub fn new(service: Name, waiting_max: usize) -> Self {
-        Self::believing(service, waiting_max, Belief::default())
+        Self::with_defaults(service, waiting_max, EngineDefaults::default())
     }
 
-    /// Creates a pool without servers; `belief` holds the initial estimates for each server that is added.
+    /// Creates a pool without servers; `defaults` holds the initial estimates for each server that is added.
     #[must_use]
-    pub fn believing(service: Name, waiting_max: usize, belief: Belief) -> Self {
+    pub fn with_defaults(service: Name, waiting_max: usize, defaults: EngineDefaults) -> Self {
         Self {
             service,
             waiting_max,
-            servers: Servers::new(belief),
+            servers: Servers::new(defaults),
             queue: Queue::default(),
             granted: HashMap::new(),
             demand: Demand::default(),
--- a/cypressvane/src/coordination/rollout/evidence.rs
+++ b/cypressvane/src/coordination/rollout/evidence.rs
@@ -11,7 +11,7 @@
 
 use crate::state::clock::Instant;
 use crate::state::name::Name;
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Difference that the test looks for, between the share of a bad version's answers that are bad and that of the old
 /// version's.
@@ -280,7 +280,7 @@
         }
         let all: u64 = self.routes.values().map(|route| route.old_answers).sum();
         let lacks = self.routes.iter().find(|(_, route)| {
-            let is_busy = real(route.old_answers) >= BUSY_SHARE * real(all) && all > 0;
+            let is_busy = to_f64(route.old_answers) >= BUSY_SHARE * to_f64(all) && all > 0;
             is_busy && route.new_answers < BUSY_ANSWERS_MIN
         });
         lacks.map(|(name, route)| {
--- a/cypressvane/src/coordination/rollout/mod.rs
+++ b/cypressvane/src/coordination/rollout/mod.rs
@@ -21,7 +21,7 @@
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 use crate::state::rollout::{Order, Progress, Stage};
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Share of the bound that canaries use; the remainder is for the phase in which all requests go to the new version.
 const CANARY_BOUND_SHARE: f64 = 0.4;
@@ -98,7 +98,7 @@
     /// this order.
     #[must_use]
     pub fn open(order: Order, bounds: Bounds, due: Instant, kept: Option<&Progress>) -> Self {
-        let own = kept.filter(|progress| order.owns(progress));
+        let own = kept.filter(|progress| order.matches(progress));
         let duration = u64::try_from(order.duration.as_millis()).unwrap_or(u64::MAX);
         let due_ms = order.seen_ms.saturating_add(duration);
         let mut rollout = Self {
@@ -256,7 +256,7 @@
         };
         let latest: u64 = self.requests.values().map(|sent| sent.latest).sum();
         let exposed = self.dealt + self.total().saturating_sub(before) + latest;
-        real(exposed) >= self.bound()
+        to_f64(exposed) >= self.bound()
     }
 
     /// Whether all requests may go to the new version: its answers were good, and the progress is stored.
@@ -315,7 +315,7 @@
 
     /// Returns the requests that a bad version may have got by now.
     fn bound(&self) -> f64 {
-        self.bounds.share * real(self.total()) + self.bounds.slack
+        self.bounds.share * to_f64(self.total()) + self.bounds.slack
     }
 
     /// Hands out requests to a host that has sent `recent` requests since its last report. It gets at most half as
--- a/cypressvane/src/coordination/rollout/version.rs
+++ b/cypressvane/src/coordination/rollout/version.rs
@@ -62,7 +62,7 @@
     let count = (servers.len() as f64 * share).ceil() as usize;
     let mut order: Vec<(String, &Name)> = servers
         .iter()
-        .map(|server| (digest::hex(server.as_bytes()), server))
+        .map(|server| (digest::sha256_hex(server.as_bytes()), server))
         .collect();
     order.sort();
     let first = order.into_iter().take(count.max(CANARIES_MIN));
--- a/cypressvane/src/coordination/server/mod.rs
+++ b/cypressvane/src/coordination/server/mod.rs
@@ -20,9 +20,9 @@
 use crate::coordination::server::pauses::Pauses;
 use crate::coordination::server::speed::Speed;
 use crate::state::clock::Instant;
-use crate::state::config::Belief;
+use crate::state::config::EngineDefaults;
 use crate::state::name::Name;
-use crate::state::units::{millis, millis_since, real, whole};
+use crate::state::units::{millis, millis_since, to_f64, to_u32};
 
 /// How long a server is assumed to keep what it read: less than its cache keeps it under load.
 const OPENING_RETENTION: Duration = Duration::from_secs(30);
@@ -85,7 +85,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(spec: &Spec, belief: &Belief, now: Instant) -> Self {
+    pub(crate) fn new(spec: &Spec, defaults: &EngineDefaults, now: Instant) -> Self {
         Self {
             name: spec.name.clone(),
             address: spec.address,
@@ -97,7 +97,7 @@
             running: HashMap::new(),
             backlog: 0,
             last_answer: None,
-            speed: Speed::with_prior(belief.prefill_rate, belief.overhead),
+            speed: Speed::with_prior(defaults.prefill_rate, defaults.overhead),
             pauses: Pauses::default(),
             answers: Answers::default(),
             prompts: Estimate::default(),
@@ -125,10 +125,10 @@
     }
 
     /// Returns the server after a restart: nothing that was learned of the previous process applies.
-    pub(crate) fn restarted(spec: &Spec, belief: &Belief, now: Instant) -> Self {
+    pub(crate) fn restarted(spec: &Spec, defaults: &EngineDefaults, now: Instant) -> Self {
         Self {
             pacing: Pacing::reset_at(now),
-            ..Self::new(spec, belief, now)
+            ..Self::new(spec, defaults, now)
         }
     }
 
@@ -159,7 +159,7 @@
     pub(crate) fn free_slots(&self, now: Instant) -> u32 {
         let running = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
         let idle = self.slots.saturating_sub(running);
-        let allowance = self.pacing.allowance(now).map(whole);
+        let allowance = self.pacing.allowance(now).map(to_u32);
         allowance.map_or(idle, |allowance| idle.min(allowance))
     }
 
@@ -258,7 +258,7 @@
     /// Counts a request that is granted to the server.
     pub(crate) fn send(&mut self, ticket: Ticket, work: Work, now: Instant) {
         self.pacing.take(now);
-        self.prompts.observe(real(work.prompt_tokens));
+        self.prompts.observe(to_f64(work.prompt_tokens));
         self.add_running(ticket, work, now);
     }
 
--- a/cypressvane/src/coordination/server/pacing.rs
+++ b/cypressvane/src/coordination/server/pacing.rs
@@ -7,7 +7,7 @@
 use crate::coordination::limit::bucket::{Bucket, Parameters};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Requests that a server may get at once, in seconds of its limit; at least one request.
 const BURST_SECONDS: f64 = 0.5;
@@ -197,7 +197,7 @@
         };
         let parameters = parameters(limit.per_second, self.share);
         let gained = now.saturating_duration_since(granted.at).as_secs_f64() * parameters.rate();
-        let level = parameters.capacity() + gained - real(granted.running as u64);
+        let level = parameters.capacity() + gained - to_f64(granted.running as u64);
         let floor = -parameters.rate() * DEBT_SECONDS_MAX;
         limit.bucket.lower_to(level.max(floor));
         self.update(now);
--- a/cypressvane/src/coordination/server/speed.rs
+++ b/cypressvane/src/coordination/server/speed.rs
@@ -3,12 +3,12 @@
 
 use std::time::Duration;
 
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Factor by which the weight of earlier observations decays with each new one: about twenty are remembered, so that
 /// a server that becomes slow is detected within a second or two.
 const DECAY: f64 = 0.95;
-/// Weight of each of the two prior observations that stand for the configured belief.
+/// Weight of each of the two prior observations that stand for the configured defaults.
 const PRIOR_WEIGHT: f64 = 1.0;
 /// Prompt tokens of the longer prior observation.
 const PRIOR_TOKENS: f64 = 4_000.0;
@@ -54,7 +54,7 @@
 
     /// Records that a first token took `took` behind `tokens` prompt tokens, its own included.
     pub(crate) fn learn(&mut self, tokens: u64, took: Duration) {
-        let tokens = real(tokens);
+        let tokens = to_f64(tokens);
         let max_seconds = (self.seconds_for(tokens) * OUTLIER_FACTOR).max(OUTLIER_SECONDS_MIN);
         for sum in [
             &mut self.weight,
@@ -95,7 +95,7 @@
 
     /// Returns the time to a first token behind `tokens` prompt tokens, its own included.
     pub(crate) fn time_to_first_token(&self, tokens: u64) -> Duration {
-        Duration::from_secs_f64(self.seconds_for(real(tokens)))
+        Duration::from_secs_f64(self.seconds_for(to_f64(tokens)))
     }
 
     /// Returns the prompt tokens that are read per second.
--- a/cypressvane/src/coordination/servers/mod.rs
+++ b/cypressvane/src/coordination/servers/mod.rs
@@ -12,9 +12,9 @@
 use crate::coordination::server::health::State;
 use crate::coordination::server::pacing::ReportedLimit;
 use crate::state::clock::Instant;
-use crate::state::config::Belief;
+use crate::state::config::EngineDefaults;
 use crate::state::name::Name;
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// A change of a server's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
     /// Initial assumptions about a new server.
-    belief: Belief,
+    defaults: EngineDefaults,
     list: Vec<Server>,
     by_name: HashMap<Name, usize>,
     /// Indexes of the servers that may be given a request now.
@@ -68,10 +68,10 @@
 }
 
 impl Servers {
-    /// Creates an empty set; `belief` holds the initial assumptions about each server.
-    pub(crate) fn new(belief: Belief) -> Self {
+    /// Creates an empty set; `defaults` holds the initial assumptions about each server.
+    pub(crate) fn new(defaults: EngineDefaults) -> Self {
         Self {
-            belief,
+            defaults,
             ..Self::default()
         }
     }
@@ -98,7 +98,7 @@
 
     fn follow_one(&mut self, spec: &Spec, now: Instant) -> Vec<Ticket> {
         let index = self.by_name.get(&spec.name).copied().unwrap_or_else(|| {
-            self.list.push(Server::new(spec, &self.belief, now));
+            self.list.push(Server::new(spec, &self.defaults, now));
             self.list.len() - 1
         });
         let share = self.share;
@@ -109,7 +109,7 @@
             Ordering::Less => return Vec::new(),
             Ordering::Equal => Vec::new(),
             Ordering::Greater => {
-                let restarted = Server::restarted(spec, &self.belief, now);
+                let restarted = Server::restarted(spec, &self.defaults, now);
                 let mut before = std::mem::replace(server, restarted);
                 before.forget(|_, _| true)
             }
@@ -295,7 +295,7 @@
         let allowed: f64 = working
             .filter_map(|server| server.pacing.allowance(now))
             .sum();
-        let missing = (real(ahead as u64) + 1.0 - allowed).max(0.0);
+        let missing = (to_f64(ahead as u64) + 1.0 - allowed).max(0.0);
         Duration::try_from_secs_f64(missing / rate).ok()
     }
 
--- a/cypressvane/src/coordination/servers/placement.rs
+++ b/cypressvane/src/coordination/servers/placement.rs
@@ -171,10 +171,10 @@
             .is_some_and(|opening| !server.has_opening(opening, now));
         let mut cost = Duration::ZERO;
         if is_in_other_data_centre {
-            cost += self.belief.distance;
+            cost += self.defaults.distance;
         }
         if lacks_opening {
-            cost += self.belief.opening;
+            cost += self.defaults.opening;
         }
         cost
     }
--- a/cypressvane/src/coordination/shard.rs
+++ b/cypressvane/src/coordination/shard.rs
@@ -8,7 +8,7 @@
 
 use crate::coordination::offer::Spec;
 use crate::state::name::Name;
-use crate::state::units::real;
+use crate::state::units::to_f64;
 
 /// Maximum number of backend servers of a pool that is not sharded.
 ///
@@ -127,9 +127,9 @@
         if weights.iter().all(|weight| *weight == 0) {
             weights.clone_from(&self.slots);
         }
-        let mut remaining = point * real(weights.iter().sum());
+        let mut remaining = point * to_f64(weights.iter().sum());
         for number in 0..self.count() {
-            let weight = real(weights[usize::from(number)]);
+            let weight = to_f64(weights[usize::from(number)]);
             if remaining < weight {
                 return self.shard(number);
             }
--- a/cypressvane/src/lib.rs
+++ b/cypressvane/src/lib.rs
@@ -28,7 +28,7 @@
     pub use crate::coordination::rollout::{Bounds, Instruction, Report, Rollout, Summary, Tally};
     pub use crate::state::rollout::{Order, Progress, Stage};
 }
-pub use crate::protocol::{dump, events, exchange, prompt, refusal};
+pub use crate::protocol::{dump, events, headers, prompt, refusal};
 pub use crate::state::{
     clock, config, digest, fingerprint, fleet, manifest, name, order, platform,
 };
--- a/cypressvane/src/protocol/dump.rs
+++ b/cypressvane/src/protocol/dump.rs
@@ -38,7 +38,7 @@
     pub peers: Vec<Peer>,
 }
 
-/// A request that was running on backend servers when they terminated.
+/// A request that was running on backend servers when they ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantined {
     /// Fingerprint that identifies the request, in hexadecimal.
@@ -49,9 +49,9 @@
     pub path: Name,
     /// Whether the request is quarantined; otherwise it is only a suspect.
     pub kept: bool,
-    /// Servers that terminated while running the request.
+    /// Servers that ended while running the request.
     pub servers: Vec<Name>,
-    /// Milliseconds since the request was quarantined, or, for a suspect, since the last of the servers terminated.
+    /// Milliseconds since the request was quarantined, or, for a suspect, since the last of the servers ended.
     pub since_ms: u64,
 }
 
--- a/cypressvane/src/protocol/events.rs
+++ b/cypressvane/src/protocol/events.rs
@@ -20,11 +20,11 @@
 
 /// Splits a stream of bytes into events.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Splitter {
     pending: BytesMut,
 }
 
-impl Cutter {
+impl Splitter {
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
@@ -42,7 +42,7 @@
 
     /// Returns the number of bytes received since the last event that was returned.
     #[must_use]
-    pub fn rest(&self) -> usize {
+    pub fn pending_len(&self) -> usize {
         self.pending.len()
     }
 }
--- a/cypressvane/src/protocol/exchange.rs
+++ b/cypressvane/src/protocol/headers.rs
@@ -15,11 +15,11 @@
 
 /// Metadata in a request's headers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct RequestMeta {
     /// Id that the caller gave to this attempt.
     pub id: Option<String>,
     /// How long the caller waits for the answer, from the time at which the request was read.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Bearer key of the caller.
     pub key: Option<String>,
     /// Number of prompt tokens and maximum number of answer tokens.
@@ -43,7 +43,7 @@
 
 /// Metadata that is sent to a backend server with a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Delivery<'a> {
+pub struct ForwardMeta<'a> {
     /// Time remaining until the caller's deadline.
     pub left: Duration,
     /// Client account of the request.
@@ -56,13 +56,13 @@
 
 /// Metadata in an answer's status and headers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reply {
+pub struct AnswerMeta {
     /// The server states that it did not run the request and will not run it.
     pub not_run: bool,
     /// The server at the address is not the intended one.
-    pub misdirected: bool,
+    pub is_misdirected: bool,
     /// The answer carries the mark that a successful answer must have; always true if the dialect has no mark.
-    pub genuine: bool,
+    pub has_mark: bool,
     /// Id of the request that the server answers, if stated.
     pub request_id: Option<String>,
     /// Load of the server, if stated.
@@ -71,10 +71,10 @@
     pub limit: Limit,
 }
 
-impl Reply {
+impl AnswerMeta {
     /// Returns whether this is the answer to the request with the id `asked`; true if no id is stated.
     #[must_use]
-    pub fn answers(&self, asked: Option<&str>) -> bool {
+    pub fn is_answer_to(&self, asked: Option<&str>) -> bool {
         let answered = self.request_id.as_deref();
         answered.is_none_or(|answered| Some(answered) == asked)
     }
@@ -82,8 +82,8 @@
     /// Returns whether the answer comes from the intended server and belongs to the request with the id `asked`, so
     /// that its metadata applies to that server.
     #[must_use]
-    pub fn tells_of_server(&self, asked: Option<&str>) -> bool {
-        !self.misdirected && self.answers(asked)
+    pub fn is_from_intended_server(&self, asked: Option<&str>) -> bool {
+        !self.is_misdirected && self.is_answer_to(asked)
     }
 }
 
@@ -92,7 +92,7 @@
 pub enum Limit {
     /// The answer states no limit.
     #[default]
-    Unnamed,
+    Absent,
     /// Requests per second; 0 if the server accepts none.
     PerSecond(f64),
     /// The stated limit is invalid.
@@ -107,7 +107,7 @@
     #[must_use]
     pub fn read<'a>(mut values: impl Iterator<Item = &'a str>) -> Self {
         let Some(value) = values.next() else {
-            return Self::Unnamed;
+            return Self::Absent;
         };
         if values.next().is_some() {
             return Self::Malformed;
@@ -139,9 +139,9 @@
     }
 }
 
-/// How long callers wait for the first event of a stream: the longest of three times.
+/// Silence of a stream, also before its first event, after which its caller leaves: the longest of three times.
 #[derive(Clone, Copy, Debug)]
-pub struct StreamPatience {
+pub struct SilenceTimeout {
     /// Minimum time.
     pub least: Duration,
     /// Factor for the route's objective.
@@ -150,8 +150,8 @@
     pub pauses: u32,
 }
 
-impl StreamPatience {
-    /// Returns how long a caller waits on a route with the given objective and maximum pause.
+impl SilenceTimeout {
+    /// Returns the silence after which a caller leaves a stream of a route with the given objective and maximum pause.
     #[must_use]
     pub fn on(&self, objective: Duration, pause: Duration) -> Duration {
         self.least
@@ -191,13 +191,13 @@
     pub mark: Option<HeaderName>,
     /// Instructions to a backend server that only the scheduler may give; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
-    /// How long callers wait for the first event of a stream; `None` if they wait as long as for the end of the
-    /// stream.
-    pub stream_patience: Option<StreamPatience>,
+    /// Silence of a stream, also before its first event, after which its caller leaves; `None` if callers wait until
+    /// their deadline.
+    pub silence_timeout: Option<SilenceTimeout>,
     /// Authentication scheme in `Authorization`.
     pub scheme: &'static str,
     /// Whether `Retry-After` may contain fractions of a second.
-    pub fractions: bool,
+    pub has_fractional_retry_after: bool,
 }
 
 impl Dialect {
@@ -220,18 +220,18 @@
             limit: name(NATIVE_LIMIT),
             mark: None,
             reserved: Vec::new(),
-            stream_patience: None,
+            silence_timeout: None,
             scheme: "Bearer",
-            fractions: false,
+            has_fractional_retry_after: false,
         }
     }
 
     /// Parses the metadata of a request; missing or malformed values are `None`.
     #[must_use]
-    pub fn ask(&self, headers: &HeaderMap) -> Ask {
-        Ask {
+    pub fn read_request(&self, headers: &HeaderMap) -> RequestMeta {
+        RequestMeta {
             id: header_text(headers, &self.request_id).map(str::to_owned),
-            patience: header_number(headers, &self.deadline_ms).map(Duration::from_millis),
+            timeout: header_number(headers, &self.deadline_ms).map(Duration::from_millis),
             key: bearer(headers, self.scheme).map(str::to_owned),
             usage: header_text(headers, &self.usage).and_then(parse_usage),
             answer_hint: header_text(headers, &self.answer_hint).and_then(|hint| hint.parse().ok()),
@@ -255,7 +255,7 @@
     }
 
     /// Converts a caller's headers to the headers that are sent to a backend server.
-    pub fn deliver(&self, headers: &mut HeaderMap, delivery: &Delivery<'_>) {
+    pub fn write_request(&self, headers: &mut HeaderMap, delivery: &ForwardMeta<'_>) {
         headers.remove(AUTHORIZATION);
         for reserved in &self.reserved {
             headers.remove(reserved);
@@ -273,13 +273,13 @@
 
     /// Parses the metadata of an answer.
     #[must_use]
-    pub fn reply(&self, status: StatusCode, headers: &HeaderMap) -> Reply {
-        let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
+    pub fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeta {
+        let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let has_header = |name: &HeaderName| headers.contains_key(name);
-        Reply {
-            not_run: misdirected || has_header(&self.not_run),
-            misdirected,
-            genuine: self.mark.as_ref().is_none_or(has_header),
+        AnswerMeta {
+            not_run: is_misdirected || has_header(&self.not_run),
+            is_misdirected,
+            has_mark: self.mark.as_ref().is_none_or(has_header),
             request_id: header_text(headers, &self.request_id).map(str::to_owned),
             load: header_text(headers, &self.load).and_then(parse_load),
             // A value that is not text becomes empty, which is a malformed limit.
@@ -293,10 +293,15 @@
     }
 
     /// Adds the caller's request id and the retry delay to an answer that the scheduler itself sends.
-    pub fn end(&self, headers: &mut HeaderMap, id: Option<&str>, retry_after: Option<Duration>) {
+    pub fn write_answer(
+        &self,
+        headers: &mut HeaderMap,
+        id: Option<&str>,
+        retry_after: Option<Duration>,
+    ) {
         set_header(headers, &self.request_id, id);
         let Some(wait) = retry_after else { return };
-        let seconds = if self.fractions {
+        let seconds = if self.has_fractional_retry_after {
             format!("{:.3}", wait.as_secs_f64())
         } else {
             let rounded_up = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
--- a/cypressvane/src/protocol/message.rs
+++ b/cypressvane/src/protocol/message.rs
@@ -62,7 +62,7 @@
     Limit {
         shard: Shard,
         server: Name,
-        heard: Heard,
+        heard: LimitReport,
     },
     /// Holder to a new home: this request is running on a grant of an earlier home.
     #[serde(rename = "a")]
@@ -141,17 +141,17 @@
     },
     /// An account's home to a host: reply to a `Charge`.
     #[serde(rename = "d")]
-    Charged { sequence: u64, word: Word },
+    Charged { sequence: u64, word: ChargeReply },
     /// Host to an account's home: refund for an admitted request that was not sent to a backend server.
     #[serde(rename = "b")]
     GiveBack { account: Name, tokens: u32 },
     /// Host to an account's home: the host admitted a request from its own share, before the home's refusal arrived.
     #[serde(rename = "s")]
     Spent { account: Name, tokens: u32 },
-    /// Any host to all others: a server terminated while running a request.
+    /// Any host to all others: a server ended while running a request.
     #[serde(rename = "e")]
     Ended(Ended),
-    /// Any host to all others: a request under which servers had terminated received a complete answer.
+    /// Any host to all others: a request that was running when servers ended has now received a complete answer.
     #[serde(rename = "k")]
     Answered { fingerprint: Fingerprint },
     /// Any host to any other: which requests are quarantined, and which have been released.
@@ -167,12 +167,12 @@
     },
     /// The coordinator of a service's roll-out to a host: instruction for routing the service's requests.
     #[serde(rename = "v")]
-    RolloutWord(RolloutWord),
+    RolloutWord(RolloutInstruction),
 }
 
 /// A server's rate limit, and how the reporting host learned it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Heard {
+pub(crate) enum LimitReport {
     /// Stated in the answer to a granted request; `None` if the answer states no limit.
     #[serde(rename = "a")]
     Now {
@@ -186,7 +186,7 @@
 
 /// Instruction to a host in a service's roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct RolloutWord {
+pub(crate) struct RolloutInstruction {
     pub(crate) service: Name,
     /// Number of the order.
     pub(crate) number: u64,
@@ -197,7 +197,7 @@
 
 /// Reply of an account's home to a `Charge`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Word {
+pub(crate) enum ChargeReply {
     /// The request is within the limits and has been charged.
     #[serde(rename = "w")]
     Within,
@@ -211,7 +211,7 @@
 
 /// How an offer came to be sent to a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Made {
+pub(crate) enum OfferKind {
     /// First offer of the request; the home may redirect it to another shard.
     #[serde(rename = "f")]
     First,
@@ -228,7 +228,7 @@
 pub(crate) struct Offer {
     pub(crate) shard: Shard,
     pub(crate) sequence: u64,
-    pub(crate) made: Made,
+    pub(crate) made: OfferKind,
     pub(crate) rank: usize,
     pub(crate) priority: i64,
     pub(crate) prompt_tokens: u32,
@@ -280,7 +280,7 @@
 }
 
 /// Reconstructs the reason of a refusal from the fields of a `Refuse` message.
-pub(crate) fn reason(code: Code, message: String, retry_after_ms: Option<u64>) -> Reason {
+pub(crate) fn refusal_reason(code: Code, message: String, retry_after_ms: Option<u64>) -> Reason {
     Reason {
         code,
         message,
@@ -305,7 +305,7 @@
 ///
 /// # Errors
 /// Fails if the length exceeds `FRAME_BYTES_MAX`.
-pub(crate) fn length(bytes: [u8; LENGTH_BYTES]) -> Result<usize, Error> {
+pub(crate) fn frame_length(bytes: [u8; LENGTH_BYTES]) -> Result<usize, Error> {
     let length = u32::from_be_bytes(bytes) as usize;
     if length > FRAME_BYTES_MAX {
         return Err(Error::TooLong(length));
--- a/cypressvane/src/protocol/message_tests.rs
+++ b/cypressvane/src/protocol/message_tests.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{
-    Ended, FRAME_BYTES_MAX, Heard, LENGTH_BYTES, Made, Message, Offer, Ruling, Word, length, pack,
-    unpack,
+    ChargeReply, Ended, FRAME_BYTES_MAX, LENGTH_BYTES, LimitReport, Message, Offer, OfferKind,
+    Ruling, frame_length, pack, unpack,
 };
 use crate::coordination::limit::Over;
 use crate::coordination::pool;
@@ -27,7 +27,7 @@
     Offer {
         shard: shard(),
         sequence: 70_000,
-        made: Made::Moved,
+        made: OfferKind::Moved,
         rank: 1,
         priority: -300,
         prompt_tokens: 4_000,
@@ -82,7 +82,7 @@
         servers: vec!["engine-17".into()],
         since: now,
     };
-    Ruling::told(&ruling, now)
+    Ruling::from_local(&ruling, now)
 }
 
 #[test]
@@ -99,8 +99,8 @@
         ended: ago(300),
     };
     let told = Ended::new(fingerprint(), &subject(), &end, now);
-    assert_eq!(told.heard(now), (subject(), end));
-    let heard = ruling().aged(1_500).heard(now);
+    assert_eq!(told.into_local(now), (subject(), end));
+    let heard = ruling().aged(1_500).into_local(now);
     assert_eq!(heard.since, ago(1_500));
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-fn limit(heard: Heard) -> Message {
+fn limit(heard: LimitReport) -> Message {
     Message::Limit {
         shard: shard(),
         server: "engine-17".into(),
@@ -161,11 +161,11 @@
             running: vec![1, 70_000],
         },
         grant(),
-        limit(Heard::Now {
+        limit(LimitReport::Now {
             sequence: 70_000,
             per_second: Some(2.5),
         }),
-        limit(Heard::Earlier {
+        limit(LimitReport::Earlier {
             per_second: 0.0,
             ago_ms: 1_200,
         }),
@@ -176,15 +176,15 @@
         },
         Message::Charged {
             sequence: 70_000,
-            word: Word::Over(Over::Tokens(Duration::from_millis(370))),
+            word: ChargeReply::Over(Over::Tokens(Duration::from_millis(370))),
         },
         Message::Charged {
             sequence: 70_001,
-            word: Word::Within,
+            word: ChargeReply::Within,
         },
         Message::Charged {
             sequence: 70_002,
-            word: Word::Unknown,
+            word: ChargeReply::Unknown,
         },
         Message::Spent {
             account: "rangers".into(),
@@ -224,7 +224,7 @@
 fn a_frame_survives_a_round_trip() {
     let frame = pack(&messages());
     let (head, body) = frame.split_at(LENGTH_BYTES);
-    let announced = length(head.try_into().expect("four bytes")).expect("a short frame");
+    let announced = frame_length(head.try_into().expect("four bytes")).expect("a short frame");
     assert_eq!(announced, body.len());
     assert_eq!(
         unpack(body).expect("a frame that was just encoded"),
@@ -235,9 +235,9 @@
 #[test]
 fn a_frame_that_is_too_long_is_refused_before_its_body_is_read() {
     let longest = u32::try_from(FRAME_BYTES_MAX).expect("a small limit");
-    assert!(length(longest.to_be_bytes()).is_ok());
-    assert!(length((longest + 1).to_be_bytes()).is_err());
-    assert!(length([0xff; LENGTH_BYTES]).is_err());
+    assert!(frame_length(longest.to_be_bytes()).is_ok());
+    assert!(frame_length((longest + 1).to_be_bytes()).is_err());
+    assert!(frame_length([0xff; LENGTH_BYTES]).is_err());
 }
 
 #[test]
--- a/cypressvane/src/protocol/mod.rs
+++ b/cypressvane/src/protocol/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod dump;
 pub mod events;
-pub mod exchange;
+pub mod headers;
 pub(crate) mod message;
 pub mod prompt;
 pub mod refusal;
--- a/cypressvane/src/protocol/request.rs
+++ b/cypressvane/src/protocol/request.rs
@@ -3,9 +3,9 @@
 //! `Received` → `Waiting` → `Dispatched`. The transition to `Dispatched` is the first byte handed to a backend
 //! connection: before it, a request can be refused as "not run". After it, refusing it as "not run" or returning it to
 //! `Waiting` requires the server's statement that it did not run the request. A request that may run more than once can
-//! instead become `Repeating`, which is never refused as "not run".
+//! instead become `Retrying`, which is never refused as "not run".
 
-use crate::protocol::exchange::Reply;
+use crate::protocol::headers::AnswerMeta;
 use crate::protocol::refusal::{Code, Ran, Reason, Refusal};
 use crate::state::clock::Instant;
 
@@ -31,7 +31,7 @@
 
 /// State: the request was sent to a backend server, may run again and waits for another server.
 #[derive(Debug)]
-pub(crate) struct Repeating;
+pub(crate) struct Retrying;
 
 /// A state in which no backend server has run the request.
 pub(crate) trait Unsent {}
@@ -45,26 +45,26 @@
 
 impl NotRun {
     /// Returns the proof if the answer states that the request did not run.
-    pub(crate) fn stated_in(reply: &Reply) -> Option<Self> {
+    pub(crate) fn stated_in(reply: &AnswerMeta) -> Option<Self> {
         reply.not_run.then_some(Self(()))
     }
 }
 
 /// A request that waits for a backend server, for its first run or for a retry.
 #[derive(Debug)]
-pub(crate) enum Turn {
+pub(crate) enum PendingRequest {
     /// The request has not run.
     First(Request<Waiting>),
     /// The request may have run.
-    Again(Request<Repeating>),
+    Retry(Request<Retrying>),
 }
 
-impl Turn {
+impl PendingRequest {
     /// Marks the request as sent; from this point on it may have run.
     pub(crate) fn dispatch(self, at: Instant) -> Request<Dispatched> {
         match self {
             Self::First(request) => request.dispatch(at),
-            Self::Again(request) => Request {
+            Self::Retry(request) => Request {
                 id: request.id,
                 arrived: request.arrived,
                 state: Dispatched {
@@ -81,7 +81,7 @@
             // The caller has sent the same request before under another id, and it may have run.
             Self::First(request) if reason.code == Code::EndsServers => request.duplicate(reason),
             Self::First(request) => request.refuse(reason),
-            Self::Again(request) => Refusal::new(reason, Ran::Unknown, request.id),
+            Self::Retry(request) => Refusal::new(reason, Ran::Unknown, request.id),
         }
     }
 }
@@ -101,7 +101,7 @@
     /// Creates a request with a new id.
     pub(crate) fn receive(arrived: Instant) -> Self {
         Self {
-            id: fresh_id(),
+            id: random_id(),
             arrived,
             state: Received,
         }
@@ -154,11 +154,11 @@
 
 impl Request<Dispatched> {
     /// Returns the request to waiting after the server stated that it did not run it.
-    pub(crate) fn returned(self, _proof: NotRun) -> Turn {
+    pub(crate) fn return_to_waiting(self, _proof: NotRun) -> PendingRequest {
         if self.state.may_have_run {
-            return self.repeat();
+            return self.retry();
         }
-        Turn::First(Request {
+        PendingRequest::First(Request {
             id: self.id,
             arrived: self.arrived,
             state: Waiting,
@@ -166,7 +166,7 @@
     }
 
     /// Refuses the request after the server stated that it did not run it.
-    pub(crate) fn refuse_unrun(&self, _proof: NotRun, reason: Reason) -> Refusal {
+    pub(crate) fn refuse_not_run(&self, _proof: NotRun, reason: Reason) -> Refusal {
         let ran = if self.state.may_have_run {
             Ran::Unknown
         } else {
@@ -176,11 +176,11 @@
     }
 
     /// Returns the request to waiting for another server; only for requests that may run more than once.
-    pub(crate) fn repeat(self) -> Turn {
-        Turn::Again(Request {
+    pub(crate) fn retry(self) -> PendingRequest {
+        PendingRequest::Retry(Request {
             id: self.id,
             arrived: self.arrived,
-            state: Repeating,
+            state: Retrying,
         })
     }
 
@@ -194,7 +194,7 @@
 ///
 /// # Panics
 /// Panics if the system's random number generator fails, since ids would not be unique.
-pub(crate) fn fresh_id() -> String {
+pub(crate) fn random_id() -> String {
     let mut bytes = [0; ID_BYTES];
     getrandom::fill(&mut bytes).expect("the system provides random numbers");
     hex::encode(bytes)
--- a/cypressvane/src/protocol/ruling.rs
+++ b/cypressvane/src/protocol/ruling.rs
@@ -17,7 +17,7 @@
     now.checked_sub(Duration::from_millis(ms)).unwrap_or(now)
 }
 
-/// Report that a backend server terminated while running a request.
+/// Report that a backend server ended while running a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Ended {
     pub(crate) fingerprint: Fingerprint,
@@ -48,7 +48,7 @@
     }
 
     /// Converts the report to the receiving host's clock.
-    pub(crate) fn heard(self, now: Instant) -> (Subject, End) {
+    pub(crate) fn into_local(self, now: Instant) -> (Subject, End) {
         let subject = Subject {
             account: self.account,
             path: self.path,
@@ -76,7 +76,7 @@
 
 impl Ruling {
     /// Converts a ruling from this host's clock to an age, to be sent or stored.
-    pub(crate) fn told(ruling: &quarantine::Ruling, now: Instant) -> Self {
+    pub(crate) fn from_local(ruling: &quarantine::Ruling, now: Instant) -> Self {
         Self {
             fingerprint: ruling.fingerprint,
             account: ruling.subject.account.clone(),
@@ -96,7 +96,7 @@
     }
 
     /// Converts the ruling to the receiving host's clock.
-    pub(crate) fn heard(self, now: Instant) -> quarantine::Ruling {
+    pub(crate) fn into_local(self, now: Instant) -> quarantine::Ruling {
         quarantine::Ruling {
             fingerprint: self.fingerprint,
             subject: Subject {
--- a/cypressvane/src/state/clock.rs
+++ b/cypressvane/src/state/clock.rs
@@ -16,7 +16,7 @@
 
 /// Measures consecutive intervals on both clocks to detect suspension.
 #[derive(Debug)]
-pub(crate) struct Watch {
+pub(crate) struct Stopwatch {
     with_suspension: Instant,
     #[allow(
         clippy::disallowed_types,
@@ -25,7 +25,7 @@
     without_suspension: std::time::Instant,
 }
 
-impl Watch {
+impl Stopwatch {
     #[allow(
         clippy::disallowed_types,
         reason = "compared with the clock that includes suspension"
--- a/cypressvane/src/state/config/engines.rs
+++ b/cypressvane/src/state/config/engines.rs
@@ -8,7 +8,7 @@
 
 /// Initial estimates for a server that has not answered yet, and placement costs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Belief {
+pub struct EngineDefaults {
     /// Prefill rate, in prompt tokens per second.
     pub prefill_rate: f64,
     /// Fixed part of the time to the first token, independent of the prompt's length.
@@ -19,7 +19,7 @@
     pub opening: Duration,
 }
 
-impl Default for Belief {
+impl Default for EngineDefaults {
     fn default() -> Self {
         Self {
             prefill_rate: 4_000.0,
@@ -61,8 +61,8 @@
 impl Engines {
     /// Returns the initial estimates as durations and rates.
     #[must_use]
-    pub fn belief(&self) -> Belief {
-        Belief {
+    pub fn defaults(&self) -> EngineDefaults {
+        EngineDefaults {
             prefill_rate: f64::from(self.prefill_rate),
             overhead: Duration::from_millis(self.overhead_ms),
             distance: Duration::from_millis(self.distance_ms),
--- a/cypressvane/src/state/config/listeners.rs
+++ b/cypressvane/src/state/config/listeners.rs
@@ -23,7 +23,8 @@
     pub peers: SocketAddr,
     /// Address at which other hosts reach the peers' listener, if it differs from the bound address.
     pub peers_public: Option<SocketAddr>,
-    /// Listener for requests on routes, which are forwarded unchanged; disabled when absent.
+    /// Listener for requests on routes, which are forwarded with their method, target and body unchanged; of their
+    /// headers, hop-by-hop ones are removed and the site's own are set. Disabled when absent.
     pub routes: Option<SocketAddr>,
 }
 
--- a/cypressvane/src/state/config/mod.rs
+++ b/cypressvane/src/state/config/mod.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use accounts::Accounts;
-pub use engines::{Belief, Engines};
+pub use engines::{EngineDefaults, Engines};
 pub use host::Host;
 pub use limits::Limits;
 pub use listeners::Listeners;
@@ -53,7 +53,7 @@
     /// Retry budget.
     #[serde(default)]
     pub retries: Retries,
-    /// Quarantine of requests that terminate backend servers.
+    /// Quarantine of requests that end backend servers.
     #[serde(default)]
     pub quarantine: Quarantine,
     /// Limits on the traffic of new versions under trial.
--- a/cypressvane/src/state/config/quarantine.rs
+++ b/cypressvane/src/state/config/quarantine.rs
@@ -1,4 +1,4 @@
-//! The section `[quarantine]`: handling of requests that terminate backend servers.
+//! The section `[quarantine]`: handling of requests that end backend servers.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,10 +8,10 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Quarantine {
-    /// Number of servers that must terminate while running the request, one after the other and without a complete
+    /// Number of servers that must end while running the request, one after the other and without a complete
     /// answer in between, before the request is quarantined; 0 disables the quarantine.
     pub ends: u64,
-    /// Duration of the quarantine, and how long a server's termination is counted, in milliseconds.
+    /// Duration of the quarantine, and how long a server's end is counted, in milliseconds.
     pub kept_ms: u64,
 }
 
@@ -30,8 +30,7 @@
             return Err(Error {
                 key: "quarantine.ends",
                 found: "1".to_owned(),
-                allowed: "0, or 2 to 60: a single termination does not implicate the request"
-                    .to_owned(),
+                allowed: "0, or 2 to 60: a single end does not implicate the request".to_owned(),
             });
         }
         check_range("quarantine.ends", self.ends, 0, 60)?;
--- a/cypressvane/src/state/config/timeouts.rs
+++ b/cypressvane/src/state/config/timeouts.rs
@@ -59,7 +59,7 @@
 impl Timeouts {
     /// Converts a timeout of this section to a duration.
     #[must_use]
-    pub fn of(millis: u64) -> Duration {
+    pub fn duration(millis: u64) -> Duration {
         Duration::from_millis(millis)
     }
 
--- a/cypressvane/src/state/digest.rs
+++ b/cypressvane/src/state/digest.rs
@@ -8,7 +8,7 @@
 
 /// Returns the SHA-256 of `bytes` in lower-case hexadecimal.
 #[must_use]
-pub fn hex(bytes: &[u8]) -> String {
+pub fn sha256_hex(bytes: &[u8]) -> String {
     hex::encode(Sha256::digest(bytes))
 }
 
--- a/cypressvane/src/state/fleet/index.rs
+++ b/cypressvane/src/state/fleet/index.rs
@@ -122,7 +122,7 @@
 
     /// Returns the rank and tier of a request on a route; on a public route there may be no account.
     #[must_use]
-    pub fn tier_on(&self, route: &Route, account: Option<&Account>) -> (usize, &Tier) {
+    pub fn route_tier(&self, route: &Route, account: Option<&Account>) -> (usize, &Tier) {
         let outranking = account.filter(|account| account.outranks_routes);
         let name = outranking.map_or(&route.tier, |account| &account.tier);
         let rank = self.ranks.get(name).copied();
--- a/cypressvane/src/state/fleet/mod.rs
+++ b/cypressvane/src/state/fleet/mod.rs
@@ -10,7 +10,7 @@
 
 pub use check::Error;
 pub use index::Index;
-pub use route::{Method, Route, Split};
+pub use route::{CallKind, Route, Split};
 
 /// Kind of a service, which determines how callers reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/cypressvane/src/state/fleet/route.rs
+++ b/cypressvane/src/state/fleet/route.rs
@@ -11,7 +11,7 @@
 /// Retry semantics of a route's requests after an incomplete answer; unrelated to the HTTP method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Method {
+pub enum CallKind {
     /// The request may run more than once.
     Idempotent,
     /// The request may run at most once.
@@ -22,7 +22,7 @@
     ResumableStream,
 }
 
-impl Method {
+impl CallKind {
     /// Returns whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
@@ -31,7 +31,7 @@
 
     /// Returns whether a request that may have run may be retried on another server.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
@@ -46,7 +46,7 @@
     pub weight: u32,
 }
 
-/// A rule by which requests for a host and path are forwarded unchanged.
+/// A rule by which requests for a host and path are forwarded, with method, target and body unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
@@ -59,7 +59,7 @@
     /// Services that share the traffic, by weight.
     pub splits: Vec<Split>,
     /// Retry semantics of the requests.
-    pub method: Method,
+    pub method: CallKind,
     /// Tier of requests, unless their account's tier takes precedence (`Account::outranks_routes`).
     pub tier: Name,
     /// Latency objective for an answer, or for the first event of a stream, in milliseconds.
--- a/cypressvane/src/state/manifest.rs
+++ b/cypressvane/src/state/manifest.rs
@@ -67,7 +67,7 @@
 
 /// A configuration split into parts, ready to be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cut {
+pub struct Partition {
     /// Digests of the parts.
     pub manifest: Manifest,
     /// Text of each part, by digest.
@@ -125,7 +125,7 @@
     /// Returns the digest of the manifest's JSON form.
     #[must_use]
     pub fn digest(&self) -> String {
-        digest::hex(self.text().as_bytes())
+        digest::sha256_hex(self.text().as_bytes())
     }
 
     /// Returns the changes from an earlier manifest to this one.
@@ -148,7 +148,7 @@
 
     /// Returns this manifest with `changes` applied.
     #[must_use]
-    pub fn with(&self, changes: &Changes) -> Self {
+    pub fn apply(&self, changes: &Changes) -> Self {
         let mut parts = self.parts.clone();
         parts.extend(changes.put.clone());
         for name in &changes.gone {
@@ -161,14 +161,14 @@
     ///
     /// # Errors
     /// Fails if a part is missing, does not match its digest or does not parse.
-    pub fn join(&self, texts: &BTreeMap<String, String>) -> Result<Fleet, Error> {
+    pub fn assemble(&self, texts: &BTreeMap<String, String>) -> Result<Fleet, Error> {
         let mut fleet = Fleet::default();
         let mut accounts: Vec<Account> = Vec::new();
         for (name, digest) in &self.parts {
             let text = texts
                 .get(digest)
                 .ok_or_else(|| Error::Missing(name.clone()))?;
-            if digest::hex(text.as_bytes()) != *digest {
+            if digest::sha256_hex(text.as_bytes()) != *digest {
                 return Err(Error::Digest(name.clone()));
             }
             let syntax_error = |source| Error::Syntax {
@@ -187,7 +187,7 @@
     }
 }
 
-impl Cut {
+impl Partition {
     /// Splits a configuration into parts.
     #[must_use]
     pub fn new(fleet: &Fleet) -> Self {
@@ -227,7 +227,7 @@
     }
 
     fn add(&mut self, name: String, text: String) {
-        let digest = digest::hex(text.as_bytes());
+        let digest = digest::sha256_hex(text.as_bytes());
         self.manifest.parts.insert(name, digest.clone());
         self.texts.insert(digest, text);
     }
@@ -242,7 +242,7 @@
 fn shard(name: &str) -> u16 {
     /// Number of hexadecimal digits in 16 bits.
     const DIGITS: usize = 4;
-    let digest = digest::hex(name.as_bytes());
+    let digest = digest::sha256_hex(name.as_bytes());
     let bits = u16::from_str_radix(&digest[..DIGITS], 16).expect("a digest is hexadecimal");
     bits % SHARDS
 }
--- a/cypressvane/src/state/order.rs
+++ b/cypressvane/src/state/order.rs
@@ -43,7 +43,7 @@
 
 /// An order with its fencing number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Numbered {
+pub struct FencedOrder {
     /// Fencing number; a server that checks it refuses numbers lower than the highest it has received.
     pub number: u64,
     /// The order.
@@ -76,7 +76,7 @@
 impl Report {
     /// Returns whether the reported state satisfies the order.
     #[must_use]
-    pub fn shows(&self, order: &Order) -> bool {
+    pub fn satisfies(&self, order: &Order) -> bool {
         let has = |kind: Kind, name: &str| {
             let mut loaded = self.loaded.iter();
             loaded.any(|loaded| loaded.kind == kind && loaded.name == name)
@@ -91,7 +91,7 @@
     /// Applies an order to this state.
     pub fn apply(&mut self, order: &Order) {
         match order {
-            Order::Load { kind, name } if !self.shows(order) => {
+            Order::Load { kind, name } if !self.satisfies(order) => {
                 self.loaded.push(Loaded {
                     kind: *kind,
                     name: name.clone(),
@@ -121,9 +121,9 @@
 
 /// Table row of a backend server with its newest order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct OrderRow {
     /// Newest order with its fencing number.
-    pub newest: Numbered,
+    pub newest: FencedOrder,
     /// Progress of the order.
     pub stage: Stage,
     /// Unique for each order; lets an issuer that received no answer to its write detect whether the write succeeded.
--- a/cypressvane/src/state/platform.rs
+++ b/cypressvane/src/state/platform.rs
@@ -15,10 +15,10 @@
 use crate::state::rollout::{Order, Progress};
 
 /// Default interval between reads of a host list that answers immediately instead of waiting for a change.
-const HOST_LIST_POLL_INTERVAL: Duration = Duration::from_secs(1);
+const HOST_LIST_READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A boxed future; it keeps the traits dyn-compatible.
-pub type Pending<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// One row of the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
 /// The transactional table service.
 pub trait Table: Send + Sync {
     /// Reads a row; `None` if it does not exist.
-    fn get<'a>(&'a self, key: &'a str) -> Pending<'a, Result<Option<Row>, Error>>;
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Row>, Error>>;
 
     /// Writes a row if the precondition `expect` holds.
     fn put<'a>(
@@ -72,7 +72,7 @@
         key: &'a str,
         value: &'a str,
         expect: Expect,
-    ) -> Pending<'a, Result<Write, Error>>;
+    ) -> BoxFuture<'a, Result<Write, Error>>;
 }
 
 /// Kind of an entry of the host list.
@@ -97,7 +97,7 @@
 
 impl Presence {
     /// Returns the name used in logs.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn text(self) -> &'static str {
         match self {
             Self::Live => "live",
             Self::Leaving => "leaving",
@@ -150,7 +150,7 @@
         /// The entries.
         entries: Vec<Entry>,
         /// Whether the newest change was reported by another host instead of the platform.
-        told: bool,
+        is_from_peer: bool,
         /// Entries that were skipped because they do not parse, with the reason.
         faults: Vec<String>,
     },
@@ -158,43 +158,43 @@
 
 /// How closely a host watches the host list itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Attention {
+pub enum FollowMode {
     /// The host waits for each change and forwards it to others.
-    Close,
+    Immediate,
     /// The host waits for changes and batches them; used while it starts, when others are likely to report them soon.
-    Patient,
+    Batched,
     /// The host receives changes from others and reads the list itself only occasionally.
-    Seldom,
+    Passive,
 }
 
 /// The list of live and leaving hosts and backend servers; it is eventually consistent.
-pub trait Roster: Send + Sync {
+pub trait HostList: Send + Sync {
     /// Returns the interval between reads; zero if a read itself waits for a change.
-    fn rest(&self) -> Duration {
-        HOST_LIST_POLL_INTERVAL
+    fn read_interval(&self) -> Duration {
+        HOST_LIST_READ_INTERVAL
     }
 
     /// Returns whether hosts register themselves.
-    fn takes_entries(&self) -> bool {
+    fn has_self_registration(&self) -> bool {
         false
     }
 
     /// Registers this host, if the platform does not do so itself.
-    fn enter<'a>(&'a self, _entry: &'a Entry) -> Pending<'a, Result<(), Error>> {
+    fn register<'a>(&'a self, _entry: &'a Entry) -> BoxFuture<'a, Result<(), Error>> {
         Box::pin(async { Ok(()) })
     }
 
     /// Removes a host that is gone, if the platform does not do so itself.
-    fn strike<'a>(&'a self, _host: &'a str) -> Pending<'a, Result<(), Error>> {
+    fn deregister<'a>(&'a self, _host: &'a str) -> BoxFuture<'a, Result<(), Error>> {
         Box::pin(async { Ok(()) })
     }
 
     /// Sets how closely this host watches the list itself.
-    fn follow(&self, _attention: Attention) {}
+    fn set_follow_mode(&self, _mode: FollowMode) {}
 
     /// Waits for a change that this host has read and should forward to other hosts, in the platform's own encoding;
     /// never completes if hosts do not forward changes.
-    fn news(&self) -> Pending<'_, Vec<u8>> {
+    fn next_outgoing_changes(&self) -> BoxFuture<'_, Vec<u8>> {
         Box::pin(std::future::pending())
     }
 
@@ -202,41 +202,41 @@
     ///
     /// # Errors
     /// Fails if the change cannot be decoded.
-    fn hear(&self, _news: &[u8]) -> Result<(), Error> {
+    fn apply_from_peer(&self, _changes: &[u8]) -> Result<(), Error> {
         Ok(())
     }
 
     /// Returns the positions up to which this host has read the list itself; they only increase and are comparable
     /// between the hosts of one platform. Empty if hosts do not forward changes.
-    fn read_here(&self) -> Vec<u64> {
+    fn read_positions(&self) -> Vec<u64> {
         Vec::new()
     }
 
     /// Returns how often the platform has been restored from an older copy, as far as this host has observed.
-    fn returns(&self) -> u64 {
+    fn restore_count(&self) -> u64 {
         0
     }
 
     /// Notes the positions up to which another host has read the list. If they are ahead and the changes are not
     /// forwarded soon, this host reads the list itself.
-    fn hear_of(&self, _read: &[u64]) {}
+    fn observe_peer(&self, _read: &[u64]) {}
 
-    /// Reads the entries of a region, or of all regions; `known` is the tag of the last state read.
+    /// Reads the entries of a region, or of all regions; returns `Listing::Same` if the list still has the tag `known`.
     fn list<'a>(
         &'a self,
         region: Option<&'a str>,
         known: Option<&'a str>,
-    ) -> Pending<'a, Result<Listing, Error>>;
+    ) -> BoxFuture<'a, Result<Listing, Error>>;
 }
 
 /// Result of a read of the configuration store.
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct ConfigState {
     /// Time at or after which this result was the newest state.
     pub confirmed: Instant,
     /// The same time by the platform's clock, in milliseconds, which other hosts can convert to their own clock; `None`
     /// if the platform does not report its time.
-    pub stamp: Option<u64>,
+    pub confirmed_ms: Option<u64>,
     /// Number and content of the newest version, if it is newer than the known one.
     pub newer: Option<(u64, Fleet)>,
     /// Newest roll-out order of each service that has one.
@@ -244,12 +244,12 @@
     /// Orders that were skipped because they do not parse, with the reason; each is reported once per change.
     pub faults: Vec<String>,
     /// Number of times the platform has been restored from an older copy, losing its latest writes.
-    pub returns: u64,
+    pub restore_count: u64,
 }
 
 /// Stored progress of a service's roll-out, with its revision for conditional writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredRollout {
     /// Revision; increases with each write.
     pub revision: u64,
     /// Stored progress.
@@ -257,31 +257,34 @@
 }
 
 /// A store in which operators maintain the configuration, on platforms that have one besides the table service.
-pub trait Source: Send + Sync {
+pub trait ConfigStore: Send + Sync {
     /// Reads the store. Unless it already has a version newer than `known`, waits for a change, for little longer than
     /// `wait`.
-    fn look(&self, known: u64, wait: Duration) -> Pending<'_, Result<Look, Error>>;
+    fn poll(&self, known: u64, wait: Duration) -> BoxFuture<'_, Result<ConfigState, Error>>;
 
     /// Converts a time by the platform's clock to this host's clock, never to a later time than the true one; `None` if
     /// the offset of the platform's clock is not known.
-    fn moment(&self, stamp: u64) -> Option<Instant>;
+    fn to_local_time(&self, platform_ms: u64) -> Option<Instant>;
 
     /// Returns the time at which the platform last answered any call of this host; `None` if not known.
-    fn answered(&self) -> Option<Instant> {
+    fn last_answered(&self) -> Option<Instant> {
         None
     }
 
     /// Reads the stored progress of a service's roll-out.
-    fn rollout<'a>(&'a self, service: &'a str) -> Pending<'a, Result<Option<Kept>, Error>>;
+    fn load_rollout<'a>(
+        &'a self,
+        service: &'a str,
+    ) -> BoxFuture<'a, Result<Option<StoredRollout>, Error>>;
 
     /// Stores the progress of a service's roll-out if the precondition `expect` holds, and publishes its state to
     /// operators.
-    fn keep_rollout<'a>(
+    fn store_rollout<'a>(
         &'a self,
         service: &'a str,
         progress: &'a Progress,
         expect: Expect,
-    ) -> Pending<'a, Result<Write, Error>>;
+    ) -> BoxFuture<'a, Result<Write, Error>>;
 }
 
 /// The services of a platform.
@@ -289,7 +292,7 @@
     /// The table service.
     pub table: Box<dyn Table>,
     /// The host list.
-    pub roster: Box<dyn Roster>,
+    pub host_list: Box<dyn HostList>,
     /// Configuration store; if absent, the configuration is read from the table service.
-    pub source: Option<Box<dyn Source>>,
+    pub config_store: Option<Box<dyn ConfigStore>>,
 }
--- a/cypressvane/src/state/reason.rs
+++ b/cypressvane/src/state/reason.rs
@@ -56,7 +56,7 @@
     BackendSilent,
     /// The backend server answered a different request.
     AnswerMismatch,
-    /// Several backend servers terminated while running the request, so it is quarantined.
+    /// Several backend servers ended while running the request, so it is quarantined.
     EndsServers,
 }
 
@@ -147,7 +147,7 @@
     }
 
     /// Creates a reason with a retry delay.
-    pub fn later(code: Code, message: impl Into<String>, retry_after: Duration) -> Self {
+    pub fn with_retry_after(code: Code, message: impl Into<String>, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
             ..Self::new(code, message)
--- a/cypressvane/src/state/rollout.rs
+++ b/cypressvane/src/state/rollout.rs
@@ -30,7 +30,7 @@
 impl Order {
     /// Returns whether this order resubmits `before`, which the platform lost in a restore from an older copy.
     #[must_use]
-    pub fn is_again(&self, before: &Self) -> bool {
+    pub fn is_resubmission_of(&self, before: &Self) -> bool {
         let has_same_target = self.to == before.to && self.duration == before.duration;
         has_same_target && self.era > before.era
     }
@@ -38,12 +38,12 @@
     /// Returns whether stored progress belongs to this order, under its current number or, if the platform lost the
     /// order and it was resubmitted, under its previous number.
     #[must_use]
-    pub fn owns(&self, kept: &Progress) -> bool {
+    pub fn matches(&self, kept: &Progress) -> bool {
         let resubmit_ms = u64::try_from(RESUBMIT_WITHIN.as_millis()).unwrap_or(u64::MAX);
-        let is_again = self.to == kept.to
+        let is_resubmission_of = self.to == kept.to
             && self.era > kept.era
             && self.seen_ms <= kept.due_ms.saturating_add(resubmit_ms);
-        kept.number == self.number || is_again
+        kept.number == self.number || is_resubmission_of
     }
 }
 
--- a/cypressvane/src/state/units.rs
+++ b/cypressvane/src/state/units.rs
@@ -5,12 +5,12 @@
 use crate::state::clock::Instant;
 
 /// Converts a count to a float, saturating at `u32::MAX`; larger counts are treated as unbounded.
-pub(crate) fn real(count: u64) -> f64 {
+pub(crate) fn to_f64(count: u64) -> f64 {
     u32::try_from(count).map_or(f64::from(u32::MAX), f64::from)
 }
 
 /// Truncates a float to a `u32`, clamping it to the range of the type.
-pub(crate) fn whole(count: f64) -> u32 {
+pub(crate) fn to_u32(count: f64) -> u32 {
     let count = count.clamp(0.0, f64::from(u32::MAX));
     // The clamp above guarantees the range.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -19,7 +19,7 @@
 }
 
 /// Converts milliseconds, possibly fractional, to a duration; zero if the value is negative, too large or not a number.
-pub(crate) fn of_millis(millis: f64) -> Duration {
+pub(crate) fn duration_from_millis(millis: f64) -> Duration {
     Duration::try_from_secs_f64(millis / 1_000.0).unwrap_or_default()
 }
 
--- a/cypressvane/src/transport/accounts.rs
+++ b/cypressvane/src/transport/accounts.rs
@@ -10,12 +10,12 @@
 
 use crate::coordination::home;
 use crate::coordination::limit::{InFlight, Ledger, Over, Tolerance};
-use crate::protocol::message::{Message, Word};
+use crate::protocol::message::{ChargeReply, Message};
 use crate::state::clock::Instant;
 use crate::state::config::{self, Config};
 use crate::state::fleet::Account;
 use crate::state::name::Name;
-use crate::state::units::of_millis;
+use crate::state::units::duration_from_millis;
 use crate::transport::peers::links::Links;
 use crate::transport::runtime::{lock, within};
 
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 enum ChargeState {
     /// The request waits for the reply.
-    Waiting(Sender<Word>),
+    Waiting(Sender<ChargeReply>),
     /// This host charged its own share instead, and reports that to the home as spent if the home refuses the charge.
     ChargedLocally {
         home: Name,
@@ -71,11 +71,11 @@
     accounts: &'a Accounts,
     sequence: u64,
     home: Name,
-    replies: Receiver<Word>,
+    replies: Receiver<ChargeReply>,
 }
 
 impl PendingCharge<'_> {
-    async fn reply(&self) -> Option<Word> {
+    async fn reply(&self) -> Option<ChargeReply> {
         self.replies.recv().await.ok()
     }
 
@@ -172,9 +172,9 @@
         let pending = self.request_charge(home, account, tokens);
         let reply = within(HOME_TIMEOUT, pending.reply()).await.flatten();
         match reply {
-            Some(Word::Within) => return Ok(Some(pending.home.clone())),
-            Some(Word::Over(over)) => return Err(over),
-            Some(Word::Unknown) | None => {}
+            Some(ChargeReply::Within) => return Ok(Some(pending.home.clone())),
+            Some(ChargeReply::Over(over)) => return Err(over),
+            Some(ChargeReply::Unknown) | None => {}
         }
         let local = self.charge_locally(account, tokens, Instant::now());
         slog::info!(
@@ -190,9 +190,9 @@
             return Ok(None);
         };
         match within(EXTRA_HOME_TIMEOUT, pending.reply()).await.flatten() {
-            Some(Word::Within) => Ok(Some(pending.home.clone())),
-            Some(Word::Over(over)) => Err(over),
-            Some(Word::Unknown) => Err(over),
+            Some(ChargeReply::Within) => Ok(Some(pending.home.clone())),
+            Some(ChargeReply::Over(over)) => Err(over),
+            Some(ChargeReply::Unknown) => Err(over),
             None => {
                 self.reconnect(&pending.home, Instant::now());
                 Err(over)
@@ -238,15 +238,15 @@
         now: Instant,
     ) {
         let word = match account.map(|account| self.charge_locally(account, tokens, now)) {
-            Some(Ok(())) => Word::Within,
-            Some(Err(over)) => Word::Over(over),
-            None => Word::Unknown,
+            Some(Ok(())) => ChargeReply::Within,
+            Some(Err(over)) => ChargeReply::Over(over),
+            None => ChargeReply::Unknown,
         };
         self.links.send(from, Message::Charged { sequence, word });
     }
 
     /// Handles the reply of an account's home.
-    pub(crate) fn hear(&self, sequence: u64, reply: Word) {
+    pub(crate) fn hear(&self, sequence: u64, reply: ChargeReply) {
         match lock(&self.pending).remove(&sequence) {
             // The channel has room for one reply, and each charge gets no more than one.
             Some(ChargeState::Waiting(sender)) => drop(sender.try_send(reply)),
@@ -255,7 +255,7 @@
                 account,
                 tokens,
                 ..
-            }) if matches!(reply, Word::Over(_)) => {
+            }) if matches!(reply, ChargeReply::Over(_)) => {
                 self.links.send(&home, Message::Spent { account, tokens });
             }
             // Both hosts charged it, the home does not know the account, or the request is gone.
@@ -348,7 +348,7 @@
 /// The configured tolerance of the limits; `None` if the settings have no window.
 fn tolerance(settings: &config::Accounts) -> Option<Tolerance> {
     (settings.window_ms > 0.0).then(|| Tolerance {
-        window: of_millis(settings.window_ms),
+        window: duration_from_millis(settings.window_ms),
         overage: settings.overage,
         slack: settings.slack,
     })
--- a/cypressvane/src/transport/active.rs
+++ b/cypressvane/src/transport/active.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::policy;
 use crate::state::fleet::{Fleet, Index};
-use crate::state::manifest::{Bundle, Cut, Manifest, Record};
+use crate::state::manifest::{Bundle, Manifest, Partition, Record};
 
 /// A configuration in force with everything derived from it.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
 
 impl Active {
     /// A version from a configuration source other than the table service.
-    pub(crate) fn outside(version: u64, fleet: Fleet) -> Result<Self, policy::Error> {
+    pub(crate) fn external(version: u64, fleet: Fleet) -> Result<Self, policy::Error> {
         let policies = policy::Programs::compile(&fleet)?;
         let record = Record {
             version,
@@ -55,7 +55,7 @@
         let mut texts = self.texts.clone();
         if manifest.parts.is_empty() {
             // The version comes from a source other than the table service, which does not cut it into parts.
-            let cut = Cut::new(&self.index.fleet);
+            let cut = Partition::new(&self.index.fleet);
             record.manifest = cut.manifest.digest();
             (manifest, texts) = (cut.manifest, cut.texts);
         }
--- a/cypressvane/src/transport/admission.rs
+++ b/cypressvane/src/transport/admission.rs
@@ -44,5 +44,5 @@
         Over::InFlight => ("requests in flight", IN_FLIGHT_RETRY_AFTER),
     };
     let message = format!("the account is over its limit of {limit}");
-    Reason::later(Code::AccountLimit, message, wait)
+    Reason::with_retry_after(Code::AccountLimit, message, wait)
 }
--- a/cypressvane/src/transport/callers/claim.rs
+++ b/cypressvane/src/transport/callers/claim.rs
@@ -35,7 +35,7 @@
     // Account name and key are hashed together, because a key may contain any bytes.
     let row = format!(
         "claims/{}",
-        digest::hex(format!("{account}\0{key}").as_bytes())
+        digest::sha256_hex(format!("{account}\0{key}").as_bytes())
     );
     let claim = Claim {
         host: node.config.host.name.clone(),
--- a/cypressvane/src/transport/callers/dispatch.rs
+++ b/cypressvane/src/transport/callers/dispatch.rs
@@ -13,7 +13,7 @@
 use super::relay;
 use super::sent::SentRequest;
 use crate::coordination::pool::End;
-use crate::protocol::exchange::{Limit, NATIVE_LIMIT};
+use crate::protocol::headers::{Limit, NATIVE_LIMIT};
 use crate::protocol::refusal::{Code, Reason, Refusal};
 use crate::protocol::request::{Request, Waiting};
 use crate::state::clock::Instant;
@@ -101,7 +101,7 @@
     wish: &Wish,
     trace: &mut Trace,
 ) -> Result<Ready, Refusal> {
-    let connect_time = Timeouts::of(node.config.timeouts.connect_ms);
+    let connect_time = Timeouts::duration(node.config.timeouts.connect_ms);
     loop {
         let remaining = wish
             .first_token_deadline
@@ -176,7 +176,7 @@
     let node = Arc::clone(&sent.node);
     set_target(&mut outgoing, address);
     outgoing.insert_header(REQUEST_ID, &request.id);
-    let silence = Timeouts::of(node.config.timeouts.silence_ms);
+    let silence = Timeouts::duration(node.config.timeouts.silence_ms);
     trace.sent();
     let dispatched = request.dispatch(Instant::now());
     let remaining = wish
--- a/cypressvane/src/transport/desk/holder.rs
+++ b/cypressvane/src/transport/desk/holder.rs
@@ -6,7 +6,7 @@
 use super::{Desk, Grant, Held, Place, Stage, Wish, Word};
 use crate::coordination::shard::{Shard, Sharding};
 use crate::coordination::silent_shards::{OfferTimer, Step};
-use crate::protocol::message::{self, Made, Message};
+use crate::protocol::message::{self, Message, OfferKind};
 use crate::protocol::refusal::{Code, Reason};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
@@ -306,9 +306,9 @@
     pub(super) fn offer(&self, sequence: u64, now: Instant) -> Message {
         let wish = &self.wish;
         let made = match self.stage {
-            Stage::Waiting(timer) if timer.is_ack_requested() => Made::Again,
-            _ if self.moved => Made::Moved,
-            _ => Made::First,
+            Stage::Waiting(timer) if timer.is_ack_requested() => OfferKind::Again,
+            _ if self.moved => OfferKind::Moved,
+            _ => OfferKind::First,
         };
         Message::Offer(message::Offer {
             shard: self.shard.clone(),
--- a/cypressvane/src/transport/desk/homes.rs
+++ b/cypressvane/src/transport/desk/homes.rs
@@ -11,7 +11,7 @@
 use crate::coordination::pool::{Action, Offer, Pool, Spec};
 use crate::coordination::shard::{Shard, Sharding};
 use crate::protocol::dump;
-use crate::protocol::message::{Made, Message};
+use crate::protocol::message::{Message, OfferKind};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
 use crate::state::units::millis;
@@ -67,11 +67,11 @@
     }
 
     /// Passes an offer to its pool, or directs the holder to another shard that has idle places.
-    pub(super) fn handle_offer(&self, shard: &Shard, offer: Offer, made: Made, now: Instant) {
+    pub(super) fn handle_offer(&self, shard: &Shard, offer: Offer, made: OfferKind, now: Instant) {
         lock(&self.pool(shard)).tally.offers += 1;
         let ticket = offer.ticket.clone();
         let sequence = ticket.sequence;
-        if made == Made::First
+        if made == OfferKind::First
             && let Some(to) = self.redirect_target(shard, &ticket, now)
         {
             let to = to.number;
@@ -79,7 +79,7 @@
             return;
         }
         self.update_pool(shard, |pool| pool.offer(offer, now));
-        if made == Made::Again && lock(&self.pool(shard)).pool.is_waiting(&ticket) {
+        if made == OfferKind::Again && lock(&self.pool(shard)).pool.is_waiting(&ticket) {
             self.send(&ticket.holder, Message::Queued { sequence }, now);
         }
     }
@@ -88,7 +88,7 @@
         let mut pools = lock(&self.pools);
         let pool = pools.entry(shard.clone()).or_insert_with(|| {
             let service = shard.service.clone();
-            let mut pool = Pool::believing(service, self.waiting_max, self.belief);
+            let mut pool = Pool::with_defaults(service, self.waiting_max, self.defaults);
             let specs = self.listed.load().servers_of(shard);
             // A new pool has no queue, so there is nothing to grant.
             let now = Instant::now();
--- a/cypressvane/src/transport/desk/limits.rs
+++ b/cypressvane/src/transport/desk/limits.rs
@@ -11,7 +11,7 @@
 use super::{Desk, Place, Stage};
 use crate::coordination::pool::{Action, Pool, ReportedLimit, Ticket};
 use crate::coordination::shard::Shard;
-use crate::protocol::exchange::Limit;
+use crate::protocol::headers::Limit;
 use crate::protocol::message::{self, Message};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
@@ -51,7 +51,7 @@
     /// An answer without a limit is reported only if the home or this host knew of one, which it ends.
     pub(crate) fn hear_limit(&self, named: Limit, metrics: &Metrics) {
         let is_none_cached = self.desk.cached_limit_count.load(Ordering::Relaxed) == 0;
-        if named == Limit::Unnamed && is_none_cached && !self.is_limited() {
+        if named == Limit::Absent && is_none_cached && !self.is_limited() {
             return;
         }
         let Some(granted) = self.granted() else {
@@ -60,7 +60,7 @@
         let now = Instant::now();
         let per_second = match named {
             Limit::PerSecond(per_second) => Some(per_second),
-            Limit::Unnamed => None,
+            Limit::Absent => None,
             Limit::Malformed => {
                 metrics.malformed_limits.inc();
                 return self.desk.log_malformed(&granted.server, now);
@@ -73,7 +73,7 @@
         let message = Message::Limit {
             shard: granted.shard,
             server: granted.server,
-            heard: message::Heard::Now {
+            heard: message::LimitReport::Now {
                 sequence: self.sequence,
                 per_second,
             },
@@ -180,7 +180,7 @@
                 let message = Message::Limit {
                     shard,
                     server: server.clone(),
-                    heard: message::Heard::Earlier {
+                    heard: message::LimitReport::Earlier {
                         per_second: limit.per_second,
                         ago_ms: millis_since(limit.at, now),
                     },
@@ -217,15 +217,15 @@
     from: &Name,
     ticket: impl Fn(u64) -> Ticket,
     server: &Name,
-    heard: message::Heard,
+    heard: message::LimitReport,
     now: Instant,
 ) -> Vec<Action> {
     match heard {
-        message::Heard::Now {
+        message::LimitReport::Now {
             sequence,
             per_second,
         } => pool.apply_limit(&ticket(sequence), server, per_second, now),
-        message::Heard::Earlier { per_second, ago_ms } => {
+        message::LimitReport::Earlier { per_second, ago_ms } => {
             let ago = Duration::from_millis(ago_ms);
             let reported = ReportedLimit {
                 per_second,
--- a/cypressvane/src/transport/desk/mod.rs
+++ b/cypressvane/src/transport/desk/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::coordination::idle::Idle;
 use crate::coordination::lag::Lag;
-use crate::coordination::pool::{self, Belief, Ticket};
+use crate::coordination::pool::{self, EngineDefaults, Ticket};
 use crate::coordination::shard::Shard;
 use crate::coordination::silent_shards::{OfferTimer, SilentShards};
 use crate::protocol::message::{self, Message};
@@ -128,7 +128,7 @@
     incarnation: u64,
     waiting_max: usize,
     /// Initial assumptions about a backend server.
-    belief: Belief,
+    defaults: EngineDefaults,
     links: Arc<Links>,
     log: Logger,
     next_sequence: AtomicU64,
@@ -161,7 +161,7 @@
             me: config.host.name.clone(),
             incarnation,
             waiting_max: usize::try_from(config.limits.waiting).unwrap_or(usize::MAX),
-            belief: config.engines.belief(),
+            defaults: config.engines.defaults(),
             links,
             log,
             next_sequence: AtomicU64::new(1),
@@ -271,7 +271,7 @@
                 message,
                 retry_after_ms,
             } => {
-                let reason = message::reason(code, message, retry_after_ms);
+                let reason = message::refusal_reason(code, message, retry_after_ms);
                 self.handle_refusal(sequence, reason, now);
             }
             Message::Queued { sequence } => self.handle_queued(from, sequence, now),
--- a/cypressvane/src/transport/gateway/admission.rs
+++ b/cypressvane/src/transport/gateway/admission.rs
@@ -14,9 +14,9 @@
 use super::message::{Contract, InboundRequest};
 use super::respond::{self, Body, host};
 use crate::coordination::policy::{self, Verdict};
-use crate::protocol::exchange::Ask;
+use crate::protocol::headers::RequestMeta;
 use crate::protocol::refusal::{Code, Reason, Refusal};
-use crate::protocol::request::{Received, Request, Waiting, fresh_id};
+use crate::protocol::request::{Received, Request, Waiting, random_id};
 use crate::state::clock::Instant;
 use crate::state::fleet::{Account, Route, Service, Tier};
 use crate::state::name::Name;
@@ -54,8 +54,8 @@
     arrived: Instant,
 ) -> Result<(Exchange, Request<Waiting>), Response<Body>> {
     let (head, body) = request.into_parts();
-    let ask = node.dialect.ask(&head.headers);
-    let received = Request::receive_as(ask.id.clone().unwrap_or_else(fresh_id), arrived);
+    let ask = node.dialect.read_request(&head.headers);
+    let received = Request::receive_as(ask.id.clone().unwrap_or_else(random_id), arrived);
     match try_admit(node, received, ask.clone(), head, body).await {
         Ok(admitted) => Ok(admitted),
         Err(refusal) => {
@@ -76,14 +76,18 @@
 async fn try_admit(
     node: &Arc<Node>,
     request: Request<Received>,
-    ask: Ask,
+    ask: RequestMeta,
     head: Parts,
     body: Incoming,
 ) -> Result<(Exchange, Request<Waiting>), Refusal> {
-    node.begun(ask.patience).await;
+    node.begun(ask.timeout).await;
     let Some(active) = node.active() else {
         let message = "this host has no configuration yet";
-        return Err(request.refuse(Reason::later(Code::NotReady, message, NOT_READY_RETRY)));
+        return Err(request.refuse(Reason::with_retry_after(
+            Code::NotReady,
+            message,
+            NOT_READY_RETRY,
+        )));
     };
     // Takes the current time, not that of arrival: reading the head and waiting for this host to start may take long.
     let matched = match resolve(node, &active, &head, &ask, Instant::now()) {
@@ -169,14 +173,12 @@
     node: &Node,
     active: &Active,
     matched: &RouteMatch<'_>,
-    ask: &Ask,
+    ask: &RequestMeta,
     head: &Parts,
     arrived: Instant,
 ) -> Result<Wish, Reason> {
     let timeout = matched.route.timeout();
-    let allowed = ask
-        .patience
-        .map_or(timeout, |patience| patience.min(timeout));
+    let allowed = ask.timeout.map_or(timeout, |limit| limit.min(timeout));
     let facts = policy::Request {
         account: matched.account_name(),
         tier: matched.tier.name.clone(),
@@ -217,14 +219,14 @@
 
 /// Returns the silence of a stream, also before its first event, after which its caller leaves, if known.
 fn stream_silence(node: &Node, route: &Route) -> Option<Duration> {
-    let patience = node.dialect.stream_patience?;
+    let silence_timeout = node.dialect.silence_timeout?;
     let pause = Duration::from_millis(route.gap_ms);
     let is_stream = route.method.is_stream();
-    is_stream.then(|| patience.on(route.objective(), pause))
+    is_stream.then(|| silence_timeout.on(route.objective(), pause))
 }
 
 /// Estimates the answer's tokens: the caller's hint, capped at the largest number that the caller allows.
-fn answer_tokens(ask: &Ask) -> u32 {
+fn answer_tokens(ask: &RequestMeta) -> u32 {
     let most = ask.usage.map_or(0, |usage| usage.answer);
     ask.answer_hint.map_or(most, |hint| hint.min(most))
 }
@@ -236,7 +238,7 @@
 async fn charge_account(
     node: &Node,
     account: Option<&Account>,
-    ask: &Ask,
+    ask: &RequestMeta,
     request: &Request<Received>,
 ) -> Result<Option<Charge>, Reason> {
     let Some(account) = account else {
@@ -252,7 +254,7 @@
     node: &Node,
     active: &'a Active,
     head: &Parts,
-    ask: &Ask,
+    ask: &RequestMeta,
     now: Instant,
 ) -> Result<RouteMatch<'a>, Reason> {
     let route = active.index.route(host(head), head.uri.path());
@@ -275,7 +277,7 @@
         .service_at(fastrand::f64())
         .and_then(|service| active.index.service(service));
     let service = service.ok_or_else(|| unknown(Code::NotFound, "the route has no service"))?;
-    let (rank, tier) = active.index.tier_on(route, account);
+    let (rank, tier) = active.index.route_tier(route, account);
     Ok(RouteMatch {
         route,
         service,
@@ -305,14 +307,14 @@
 }
 
 /// Returns the tokens that a request is charged to its account's limit.
-fn charged_tokens(ask: &Ask, account: &Account) -> u32 {
+fn charged_tokens(ask: &RequestMeta, account: &Account) -> u32 {
     let plain = account.plain_tokens.unwrap_or(1);
     ask.usage
         .map_or(plain, |usage| usage.prompt.saturating_add(usage.answer))
 }
 
 /// Hashes account, prompt and usage, to recognise a request that returns after a refusal: each attempt has its own id.
-fn mark(ask: &Ask, account: &Name) -> Option<u64> {
+fn mark(ask: &RequestMeta, account: &Name) -> Option<u64> {
     let mut hasher = DefaultHasher::new();
     account.hash(&mut hasher);
     ask.prompt.as_ref()?.hash(&mut hasher);
@@ -333,13 +335,13 @@
     if !account.is_some_and(|account| account.outranks_routes) {
         return priority;
     }
-    let (rank, _) = active.index.tier_on(route, None);
+    let (rank, _) = active.index.route_tier(route, None);
     let rank = i64::try_from(rank).unwrap_or(RANKS);
     priority.saturating_mul(RANKS) - rank
 }
 
 /// Hashes the first part of the prompt, to recognise prompts with the same prefix.
-fn opening(ask: &Ask) -> Option<u64> {
+fn opening(ask: &RequestMeta) -> Option<u64> {
     let (first, _) = ask.prompt.as_ref()?.split_once(',')?;
     let mut hasher = DefaultHasher::new();
     first.hash(&mut hasher);
--- a/cypressvane/src/transport/gateway/evidence.rs
+++ b/cypressvane/src/transport/gateway/evidence.rs
@@ -49,11 +49,11 @@
 
     /// Records for the roll-out how long an accepted answer, or its first events, took and how long was expected.
     pub(super) fn record_first_token(&self, sent: Instant) {
-        let belief = self.node.config.engines.belief();
-        let prefill_seconds = f64::from(self.wish.prompt_tokens) / belief.prefill_rate;
+        let defaults = self.node.config.engines.defaults();
+        let prefill_seconds = f64::from(self.wish.prompt_tokens) / defaults.prefill_rate;
         let first = Observed::First {
             took: sent.elapsed(),
-            expected: belief.overhead + Duration::from_secs_f64(prefill_seconds),
+            expected: defaults.overhead + Duration::from_secs_f64(prefill_seconds),
         };
         self.way.observe(&self.route, first);
     }
--- a/cypressvane/src/transport/gateway/exchange.rs
+++ b/cypressvane/src/transport/gateway/exchange.rs
@@ -13,9 +13,9 @@
 use super::relay::{self, Stream};
 use super::respond::{self, Body, strip_connection};
 use crate::coordination::pool::End;
-use crate::protocol::exchange::{Delivery, Reply};
+use crate::protocol::headers::{AnswerMeta, ForwardMeta};
 use crate::protocol::refusal::{Code, Reason, Refusal};
-use crate::protocol::request::{Dispatched, NotRun, Request, Turn, Waiting};
+use crate::protocol::request::{Dispatched, NotRun, PendingRequest, Request, Waiting};
 use crate::state::clock::Instant;
 use crate::state::config::Timeouts;
 use crate::state::name::Name;
@@ -114,7 +114,10 @@
 
     /// Runs the request until it is answered or refused.
     pub(super) async fn run(mut self, request: Request<Waiting>) -> Response<Body> {
-        match self.send_until_accepted(Turn::First(request)).await {
+        match self
+            .send_until_accepted(PendingRequest::First(request))
+            .await
+        {
             Ok((_, Success::Buffered(head, body))) => {
                 self.trace.first_token();
                 self.record_success(None);
@@ -137,7 +140,7 @@
     /// If the last attempt failed with an error response of the server, that response is returned as the answer.
     pub(super) async fn send_until_accepted(
         &mut self,
-        mut turn: Turn,
+        mut turn: PendingRequest,
     ) -> Result<(Request<Dispatched>, Success), Refusal> {
         loop {
             let ready = match self.wait().await {
@@ -179,7 +182,7 @@
         &mut self,
         request: Request<Dispatched>,
         failure: Failure,
-    ) -> Result<Turn, Box<FinalFailure>> {
+    ) -> Result<PendingRequest, Box<FinalFailure>> {
         let now = Instant::now();
         let retry = self.may_retry(&failure, now);
         slog::info!(
@@ -201,16 +204,16 @@
             self.place
                 .again(failure.end, Some(self.wish.first_token_deadline));
             return Ok(match failure.not_run {
-                Some(proof) => request.returned(proof),
-                None => request.repeat(),
+                Some(proof) => request.return_to_waiting(proof),
+                None => request.retry(),
             });
         }
         self.place.end(failure.end);
         let refusal = match failure.not_run {
             Some(proof) => {
                 let message = failure.reason.message;
-                let reason = Reason::later(Code::Overloaded, message, FULL_RETRY);
-                request.refuse_unrun(proof, reason)
+                let reason = Reason::with_retry_after(Code::Overloaded, message, FULL_RETRY);
+                request.refuse_not_run(proof, reason)
             }
             None => request.fail(failure.reason),
         };
@@ -221,7 +224,7 @@
     ///
     /// The error names the bound that forbids the retry.
     fn may_retry(&self, failure: &Failure, now: Instant) -> Result<(), &'static str> {
-        if failure.not_run.is_none() && !self.contract.method.may_repeat() {
+        if failure.not_run.is_none() && !self.contract.method.may_retry() {
             Err("method")
         } else if self.attempts >= self.contract.max_attempts {
             Err("attempts")
@@ -229,7 +232,7 @@
             Err("deadline")
         } else if self.quarantine_refusal().is_some() {
             Err("quarantine")
-        } else if !self.node.may_repeat(&self.wish.service, now) {
+        } else if !self.node.may_retry(&self.wish.service, now) {
             Err("budget")
         } else {
             Ok(())
@@ -238,7 +241,7 @@
 
     /// Waits for a grant and connects to the granted server.
     async fn wait(&mut self) -> Result<Ready, Reason> {
-        let connect_time = Timeouts::of(self.node.config.timeouts.connect_ms);
+        let connect_time = Timeouts::duration(self.node.config.timeouts.connect_ms);
         loop {
             let left = self
                 .wish
@@ -305,9 +308,12 @@
             None => return Err(Failure::silent()),
         };
         let status = answer.response.status();
-        let reply = self.node.dialect.reply(status, answer.response.headers());
+        let reply = self
+            .node
+            .dialect
+            .read_answer(status, answer.response.headers());
         self.trace.loaded(reply.load);
-        if reply.tells_of_server(self.inbound.caller_id.as_deref()) {
+        if reply.is_from_intended_server(self.inbound.caller_id.as_deref()) {
             self.place.hear_limit(reply.limit, &self.node.metrics);
         }
         self.check_head(&answer, &reply)?;
@@ -335,7 +341,7 @@
     fn response_timeout(&self) -> Duration {
         let left = self.silence_left();
         let is_retryable =
-            self.contract.method.may_repeat() && self.attempts < self.contract.max_attempts;
+            self.contract.method.may_retry() && self.attempts < self.contract.max_attempts;
         if is_retryable {
             return left.min(self.contract.objective * SILENT_OBJECTIVES);
         }
@@ -360,10 +366,10 @@
 
     /// Checks the head of an answer: whether the request ran, whether the answer belongs to it, and whether a
     /// success carries the server's mark.
-    fn check_head(&self, answer: &Answer, reply: &Reply) -> Result<(), Failure> {
+    fn check_head(&self, answer: &Answer, reply: &AnswerMeta) -> Result<(), Failure> {
         let status = answer.response.status();
         if let Some(proof) = NotRun::stated_in(reply) {
-            let end = if reply.misdirected {
+            let end = if reply.is_misdirected {
                 End::Replaced
             } else {
                 End::Full
@@ -374,11 +380,11 @@
                 ..Failure::of(end, Reason::new(Code::Overloaded, message))
             });
         }
-        if !reply.answers(self.inbound.caller_id.as_deref()) {
+        if !reply.is_answer_to(self.inbound.caller_id.as_deref()) {
             let reason = Reason::new(Code::AnswerMismatch, "the answer is another request's");
             return Err(Failure::of(End::Broken, reason));
         }
-        if status.is_success() && !reply.genuine {
+        if status.is_success() && !reply.has_mark {
             let reason = Reason::new(Code::BackendFailed, "a success without its mark");
             return Err(Failure::of(End::Broken, reason));
         }
@@ -403,20 +409,20 @@
         headers.clone_from(&head.headers);
         let dialect = &self.node.dialect;
         strip_connection(headers, |header| dialect.is_end_to_end(header));
-        let delivery = Delivery {
+        let delivery = ForwardMeta {
             left: self.time_left(),
             account: self.inbound.account.as_deref(),
             server,
             last_event: self.inbound.last_event,
         };
-        dialect.deliver(headers, &delivery);
+        dialect.write_request(headers, &delivery);
         request
     }
 }
 
 /// The reason for refusing a request that got no server in time.
 pub(super) fn timed_out() -> Reason {
-    Reason::later(Code::DeadlinePassed, "no server in time", FULL_RETRY)
+    Reason::with_retry_after(Code::DeadlinePassed, "no server in time", FULL_RETRY)
 }
 
 /// Builds the caller's response from the head of the server's answer and a body.
--- a/cypressvane/src/transport/gateway/message.rs
+++ b/cypressvane/src/transport/gateway/message.rs
@@ -8,13 +8,13 @@
 
 use super::respond;
 use crate::state::fingerprint::{Fingerprint, Identity};
-use crate::state::fleet::Method;
+use crate::state::fleet::CallKind;
 use crate::state::name::Name;
 
 /// The route's terms for its requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Contract {
-    pub(super) method: Method,
+    pub(super) method: CallKind,
     /// Largest number of attempts, the first one included.
     pub(super) max_attempts: u32,
     /// Time to the answer, or to the first event of a stream.
--- a/cypressvane/src/transport/gateway/relay.rs
+++ b/cypressvane/src/transport/gateway/relay.rs
@@ -12,7 +12,7 @@
 use super::exchange::{Exchange, Success};
 use super::failure::Failure;
 use super::respond::Body;
-use crate::protocol::events::Cutter;
+use crate::protocol::events::Splitter;
 use crate::protocol::refusal::{Code, Reason};
 use crate::protocol::request::{Dispatched, Request};
 use crate::state::clock::Instant;
@@ -29,7 +29,7 @@
 /// A server's stream of events.
 pub(super) struct Stream {
     answer: Answer,
-    cutter: Cutter,
+    splitter: Splitter,
     /// Events that were read but not relayed yet.
     buffered: Bytes,
     /// The last event that was read.
@@ -51,7 +51,7 @@
         };
         let mut stream = Self {
             answer,
-            cutter: Cutter::default(),
+            splitter: Splitter::default(),
             buffered: Bytes::new(),
             last_event: after,
         };
@@ -75,14 +75,14 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    self.cutter.push(&data);
+                    self.splitter.push(&data);
                     let events = self.take_events();
                     if !events.is_empty() {
                         return Ok(Some(events));
                     }
                 }
                 Some(Err(error)) => return Err(Failure::broken(error)),
-                None if self.cutter.rest() > 0 => {
+                None if self.splitter.pending_len() > 0 => {
                     return Err(Failure::broken("the last event is not whole"));
                 }
                 None => return Ok(None),
@@ -93,7 +93,7 @@
     /// Takes all whole events that were read, without those that the caller has.
     fn take_events(&mut self) -> Bytes {
         let mut events = BytesMut::new();
-        while let Some(event) = self.cutter.next_event() {
+        while let Some(event) = self.splitter.next_event() {
             let is_delivered = event.id.is_some() && event.id <= self.last_event;
             if is_delivered {
                 continue;
@@ -187,7 +187,7 @@
     /// Time that the server may stay silent before the stream is resumed elsewhere or fails.
     fn silence_timeout(&self) -> Duration {
         let left = self.exchange.silence_left();
-        if self.exchange.contract.method.may_repeat() && !self.exchange.contract.gap.is_zero() {
+        if self.exchange.contract.method.may_retry() && !self.exchange.contract.gap.is_zero() {
             return left.min(self.exchange.contract.gap * SILENT_GAPS);
         }
         left
--- a/cypressvane/src/transport/gateway/respond.rs
+++ b/cypressvane/src/transport/gateway/respond.rs
@@ -12,7 +12,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt as _, Full};
 
-use crate::protocol::exchange::Dialect;
+use crate::protocol::headers::Dialect;
 use crate::protocol::refusal::{Code, Ran, Reason, Refusal};
 use crate::transport::node::NOT_READY_RETRY;
 
@@ -33,14 +33,14 @@
     *response.status_mut() = status(refusal);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    dialect.end(headers, id, refusal.reason.retry_after);
+    dialect.write_answer(headers, id, refusal.reason.retry_after);
     response
 }
 
 /// The reason for refusing a request with a key when this host cannot know whether the key is still valid.
 pub(super) fn unconfirmed_keys() -> Reason {
     let message = "the accounts' keys could not be confirmed for too long";
-    Reason::later(Code::PlatformUnavailable, message, NOT_READY_RETRY)
+    Reason::with_retry_after(Code::PlatformUnavailable, message, NOT_READY_RETRY)
 }
 
 /// Returns the host that a request names, without its port; empty if it names none.
--- a/cypressvane/src/transport/host.rs
+++ b/cypressvane/src/transport/host.rs
@@ -10,7 +10,7 @@
 use slog::Logger;
 use smol::{Task, Timer};
 
-use crate::protocol::exchange::Dialect;
+use crate::protocol::headers::Dialect;
 use crate::state::clock::Instant;
 use crate::state::config::{Config, Timeouts};
 use crate::state::platform::Services;
@@ -26,8 +26,8 @@
 use crate::transport::peers::Peers;
 use crate::transport::peers::links::Moves;
 use crate::transport::platform::follow;
-use crate::transport::platform::roster;
-use crate::transport::platform::{HttpRoster, HttpTable};
+use crate::transport::platform::host_list;
+use crate::transport::platform::{HttpHostList, HttpTable};
 use crate::transport::quarantine::keeper;
 use crate::transport::rollout;
 use crate::transport::runtime;
@@ -96,8 +96,8 @@
 pub fn spawn(config: Config, log: Logger) -> Result<Handle, Error> {
     let services = Services {
         table: Box::new(HttpTable(config.platform.table)),
-        roster: Box::new(HttpRoster(config.platform.hosts)),
-        source: None,
+        host_list: Box::new(HttpHostList(config.platform.hosts)),
+        config_store: None,
     };
     spawn_on(config, services, Dialect::native(), log)
 }
@@ -171,7 +171,7 @@
 ) -> Result<server::Handle, Error> {
     let routes = Routes {
         gateway: Gateway::new(Arc::clone(node)),
-        idle: Timeouts::of(node.config.timeouts.idle_ms),
+        idle: Timeouts::duration(node.config.timeouts.idle_ms),
         most,
     };
     listener::bind(address, routes).map_err(|source| Error::Bind {
@@ -186,8 +186,8 @@
     let periodic = |period, work| runtime::spawn(run_every(period, Arc::clone(node), work));
     vec![
         runtime::spawn(follow::run(Arc::clone(node), nudges)),
-        runtime::spawn(roster::run(Arc::clone(node), installs)),
-        runtime::spawn(roster::pass_on(Arc::clone(node))),
+        runtime::spawn(host_list::run(Arc::clone(node), installs)),
+        runtime::spawn(host_list::pass_on(Arc::clone(node))),
         runtime::spawn(keeper::run(Arc::clone(node))),
         runtime::spawn(rollout::run(Arc::clone(node))),
         periodic(TICK, |node, now| node.desk.tick(now)),
@@ -195,7 +195,7 @@
         periodic(REFRESH_PERIOD, |node, now| node.desk.reconcile(now)),
         periodic(CHECK_PERIOD, |node, now| node.desk.offer_again(now)),
         periodic(CHECK_PERIOD, |node, now| node.accounts.reconnect_late(now)),
-        periodic(CHECK_PERIOD, |node, _| roster::follow_rollouts(node)),
+        periodic(CHECK_PERIOD, |node, _| host_list::follow_rollouts(node)),
         periodic(CHECK_PERIOD, |node, now| node.rollouts.report(now)),
         periodic(IDLE_REPORT_PERIOD, |node, now| node.desk.tell_idle(now)),
         periodic(WORK_LOG_PERIOD, |node, now| node.desk.log_work(now)),
@@ -211,10 +211,10 @@
     Options {
         body_bytes: config.limits.body_bytes,
         connections: usize::try_from(config.limits.connections).unwrap_or(usize::MAX),
-        head: Timeouts::of(config.timeouts.head_ms),
-        body: Timeouts::of(config.timeouts.body_ms),
-        idle: Timeouts::of(config.timeouts.idle_ms),
-        write: Timeouts::of(config.timeouts.write_ms),
+        head: Timeouts::duration(config.timeouts.head_ms),
+        body: Timeouts::duration(config.timeouts.body_ms),
+        idle: Timeouts::duration(config.timeouts.idle_ms),
+        write: Timeouts::duration(config.timeouts.write_ms),
     }
 }
 
@@ -247,8 +247,8 @@
         log_moves(node, &moves, now);
         node.desk.rehome(now);
     }
-    node.roster.follow(roster::attention(node));
-    node.links.tell_list_read(node.roster.read_here());
+    node.host_list.set_follow_mode(host_list::follow_mode(node));
+    node.links.tell_list_read(node.host_list.read_positions());
     node.share_budget(now);
     node.desk.share_limits(now);
 }
@@ -331,8 +331,8 @@
     pub async fn drain(self) -> usize {
         let timeouts = &self.node.config.timeouts;
         let (grace, limit) = (
-            Timeouts::of(timeouts.grace_ms),
-            Timeouts::of(timeouts.drain_ms),
+            Timeouts::duration(timeouts.grace_ms),
+            Timeouts::duration(timeouts.drain_ms),
         );
         slog::info!(self.node.log, "leaving"; "held" => self.node.desk.held());
         self.node.begin_drain();
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -12,13 +12,13 @@
 use crate::coordination::budget::{self, Budget};
 use crate::coordination::lease::Lease;
 use crate::protocol::dump;
-use crate::protocol::exchange::Dialect;
+use crate::protocol::headers::Dialect;
 use crate::protocol::refusal::{Code, Reason};
-use crate::state::clock::{Instant, Lap, Watch};
+use crate::state::clock::{Instant, Lap, Stopwatch};
 use crate::state::config::{Config, Timeouts};
 use crate::state::name::Name;
-use crate::state::platform::{Entry, Kind, Presence, Roster, Services, Source, Table};
-use crate::state::units::{millis, of_millis, since_epoch};
+use crate::state::platform::{ConfigStore, Entry, HostList, Kind, Presence, Services, Table};
+use crate::state::units::{duration_from_millis, millis, since_epoch};
 use crate::transport::accounts::{Accounts, Charge};
 use crate::transport::active::Active;
 use crate::transport::desk::Desk;
@@ -42,12 +42,12 @@
     pub(crate) incarnation: u64,
     pub(crate) started: Instant,
     /// Measures for how long this host stood still.
-    watch: Mutex<Watch>,
+    watch: Mutex<Stopwatch>,
     pub(crate) log: Logger,
     pub(crate) metrics: Metrics,
     pub(crate) table: Box<dyn Table>,
-    pub(crate) roster: Box<dyn Roster>,
-    pub(crate) source: Option<Box<dyn Source>>,
+    pub(crate) host_list: Box<dyn HostList>,
+    pub(crate) config_store: Option<Box<dyn ConfigStore>>,
     pub(crate) dialect: Dialect,
     pub(crate) links: Arc<Links>,
     pub(crate) desk: Arc<Desk>,
@@ -112,11 +112,11 @@
         Self {
             incarnation,
             started: Instant::now(),
-            watch: Mutex::new(Watch::start()),
+            watch: Mutex::new(Stopwatch::start()),
             metrics: Metrics::new(links.counters()),
             table: services.table,
-            roster: services.roster,
-            source: services.source,
+            host_list: services.host_list,
+            config_store: services.config_store,
             dialect,
             links,
             desk: Arc::new(desk),
@@ -154,7 +154,7 @@
     /// Waits until a starting host can serve requests, but no longer than the caller's patience or the start timeout: a
     /// refusal with a retry would cost the caller more than this wait.
     pub(crate) async fn begun(&self, patience: Option<Duration>) {
-        let start = Timeouts::of(self.config.timeouts.start_ms);
+        let start = Timeouts::duration(self.config.timeouts.start_ms);
         let limit = patience.map_or(start, |patience| patience.min(start));
         // The channel carries no values; it is closed on initialization, which ends all waits at once.
         let _ = within(limit, self.initialized.1.recv()).await;
@@ -192,7 +192,7 @@
             return unknown;
         }
         let message = "another host has a newer configuration than this one";
-        Reason::later(Code::NotReady, message, NOT_READY_RETRY)
+        Reason::with_retry_after(Code::NotReady, message, NOT_READY_RETRY)
     }
 
     /// Puts a configuration in force unless the one in force is as new or newer; returns whether it did.
@@ -220,7 +220,7 @@
     }
 
     /// Takes a retry on another server from the service's budget; returns whether the budget had one.
-    pub(crate) fn may_repeat(&self, service: &Name, now: Instant) -> bool {
+    pub(crate) fn may_retry(&self, service: &Name, now: Instant) -> bool {
         lock(&self.budget).take_retry(service, &self.retry_bounds(), now)
     }
 
@@ -238,7 +238,7 @@
         budget::Bounds {
             ratio: retries.ratio,
             spare: retries.spare,
-            window: of_millis(retries.window_ms),
+            window: duration_from_millis(retries.window_ms),
         }
     }
 
--- a/cypressvane/src/transport/operators/mod.rs
+++ b/cypressvane/src/transport/operators/mod.rs
@@ -122,7 +122,10 @@
     /// another source than the table service, which names no operators.
     fn operator(&self, request: &HttpRequest) -> Option<Name> {
         let key = bearer(request)?;
-        let own = self.node.active().filter(|_| self.node.source.is_none());
+        let own = self
+            .node
+            .active()
+            .filter(|_| self.node.config_store.is_none());
         if let Some(active) = own {
             return active
                 .index
@@ -158,7 +161,7 @@
     }
 
     async fn submit(&self, operator: &str, call: &mut Call) -> Result<Response, Reason> {
-        if self.node.source.is_some() {
+        if self.node.config_store.is_some() {
             let message = "the platform's own operators keep the configuration";
             return Err(Reason::new(Code::Conflict, message));
         }
@@ -201,10 +204,10 @@
     }
 
     async fn hosts(&self) -> Result<Response, Reason> {
-        if self.node.roster.takes_entries() {
+        if self.node.host_list.has_self_registration() {
             return Ok(answer::json(200, &*self.node.listed.load_full()));
         }
-        match self.node.roster.list(None, None).await {
+        match self.node.host_list.list(None, None).await {
             Ok(Listing::Entries { entries, .. }) => Ok(answer::json(200, &entries)),
             // The call named no known state, so the list cannot be the same as that.
             Ok(Listing::Same) => Err(Reason::new(
--- a/cypressvane/src/transport/operators/orders.rs
+++ b/cypressvane/src/transport/operators/orders.rs
@@ -13,9 +13,9 @@
 use smol::Timer;
 
 use crate::protocol::refusal::{Code, Reason};
-use crate::protocol::request::fresh_id;
+use crate::protocol::request::random_id;
 use crate::state::clock::Instant;
-use crate::state::order::{Entry, Numbered, Order, Report, Stage};
+use crate::state::order::{FencedOrder, Order, OrderRow, Report, Stage};
 use crate::state::platform::{Error, Expect, Kind, Listing, Row, Write};
 use crate::state::units::{millis, since_epoch};
 use crate::transport::http::client::{self, Reply};
@@ -43,7 +43,7 @@
 /// An order that this host has written as pending and may send.
 struct PendingOrder {
     key: String,
-    entry: Entry,
+    entry: OrderRow,
     /// When the write of the row started.
     write_started: Instant,
     /// Whether an earlier issuer fell silent with an order that may still arrive.
@@ -62,7 +62,7 @@
     operator: &str,
     server: &str,
     order: Order,
-) -> Result<Entry, Reason> {
+) -> Result<OrderRow, Reason> {
     let address = find_address(node, server).await?;
     let mut pending = write_pending(node, operator, server, order).await?;
     let stage = carry_out(&pending, address).await;
@@ -79,7 +79,7 @@
 /// The address of a backend server.
 async fn find_address(node: &Node, server: &str) -> Result<SocketAddr, Reason> {
     let listing = node
-        .roster
+        .host_list
         .list(None, None)
         .await
         .map_err(|error| unavailable(&error))?;
@@ -123,10 +123,10 @@
         return Err(order_conflict(pending));
     }
     let number = last.as_ref().map_or(0, |last| last.newest.number) + 1;
-    let entry = Entry {
-        newest: Numbered { number, order },
+    let entry = OrderRow {
+        newest: FencedOrder { number, order },
         stage: Stage::Pending,
-        id: fresh_id(),
+        id: random_id(),
         operator: operator.to_owned(),
         issuer: node.config.host.name.clone(),
         issued_at_ms: now_ms,
@@ -146,7 +146,7 @@
 async fn write_row(
     node: &Node,
     key: &str,
-    entry: &Entry,
+    entry: &OrderRow,
     before: Option<&Row>,
 ) -> Result<(), Reason> {
     let expect = before.map_or(Expect::Absent, |row| Expect::Revision(row.revision));
@@ -261,7 +261,7 @@
 /// Whether the server shows the order; `None` if it does not answer.
 async fn is_shown(pending: &PendingOrder, address: SocketAddr) -> Option<bool> {
     let report = fetch_report(address).await?;
-    Some(report.shows(&pending.entry.newest.order))
+    Some(report.satisfies(&pending.entry.newest.order))
 }
 
 fn not_shown() -> Reason {
@@ -278,12 +278,12 @@
     serde_json::from_slice(&reply.body).ok()
 }
 
-fn parse(row: &Row) -> Result<Entry, Reason> {
+fn parse(row: &Row) -> Result<OrderRow, Reason> {
     serde_json::from_str(&row.value)
         .map_err(|error| unavailable(&Error::Unexpected(error.to_string())))
 }
 
-fn order_conflict(entry: &Entry) -> Reason {
+fn order_conflict(entry: &OrderRow) -> Reason {
     let message = format!(
         "order {} of {} from {} came first and is {:?}",
         entry.newest.number, entry.issuer, entry.operator, entry.stage
--- a/cypressvane/src/transport/operators/submit.rs
+++ b/cypressvane/src/transport/operators/submit.rs
@@ -6,9 +6,9 @@
 
 use crate::coordination::policy;
 use crate::protocol::refusal::{Code, Reason};
-use crate::protocol::request::fresh_id;
+use crate::protocol::request::random_id;
 use crate::state::fleet::Fleet;
-use crate::state::manifest::{Cut, HINT_KEY, Record};
+use crate::state::manifest::{HINT_KEY, Partition, Record};
 use crate::state::platform::{Error, Expect, Write};
 use crate::state::units::since_epoch;
 use crate::transport::node::Node;
@@ -40,13 +40,13 @@
         .await
         .map_err(|error| unavailable("nothing was written", &error))?;
     let base = base.unwrap_or_else(|| node.version());
-    let cut = Cut::new(&fleet);
+    let cut = Partition::new(&fleet);
     let before = node.active().filter(|active| active.record.version == base);
     let changes = before.map(|active| cut.manifest.changes_from(&active.manifest));
     let record = Record {
         version: base + 1,
         manifest: cut.manifest.digest(),
-        submission: fresh_id(),
+        submission: random_id(),
         author: author.to_owned(),
         accepted_at: since_epoch().as_secs(),
         changes,
--- a/cypressvane/src/transport/peers/links/mod.rs
+++ b/cypressvane/src/transport/peers/links/mod.rs
@@ -77,8 +77,8 @@
         Self {
             me,
             incarnation,
-            heartbeat: Timeouts::of(timeouts.heartbeat_ms),
-            suspect_after: Timeouts::of(timeouts.suspect_ms),
+            heartbeat: Timeouts::duration(timeouts.heartbeat_ms),
+            suspect_after: Timeouts::duration(timeouts.suspect_ms),
             peers: ArcSwap::default(),
             candidates: ArcSwap::from_pointee(candidates),
             has_read_roster: AtomicBool::new(false),
--- a/cypressvane/src/transport/peers/mod.rs
+++ b/cypressvane/src/transport/peers/mod.rs
@@ -21,7 +21,7 @@
 use crate::transport::http::head::{bearer, header};
 use crate::transport::http::server::{Call, Endpoint};
 use crate::transport::node::Node;
-use crate::transport::platform::roster;
+use crate::transport::platform::host_list;
 
 /// Serves the other hosts.
 pub(crate) struct Peers {
@@ -73,7 +73,7 @@
                 rulings,
             } => {
                 self.node.quarantine.compare(from, rulings, now);
-                self.node.roster.hear_of(&list_read);
+                self.node.host_list.observe_peer(&list_read);
                 self.handle_confirmation(version, confirmed);
                 let links = &self.node.links;
                 links.note_heartbeat(from, version, draining, cut_off);
@@ -126,7 +126,7 @@
                 .hear_report(from, incarnation, &service, number, &report, now),
             Message::RolloutWord(word) => {
                 self.node.rollouts.hear_word(&word, now);
-                roster::follow_rollouts(&self.node);
+                host_list::follow_rollouts(&self.node);
             }
             other => self.node.desk.handle(from, incarnation, other, now),
         }
@@ -147,9 +147,9 @@
 
     /// Handles another host's confirmation that its version was the newest at a time by the platform's clock.
     fn handle_confirmation(&self, version: u64, confirmed: Option<u64>) {
-        let source = self.node.source.as_ref();
-        let moment = source.zip(confirmed);
-        let moment = moment.and_then(|(source, stamp)| source.moment(stamp));
+        let config_store = self.node.config_store.as_ref();
+        let moment = config_store.zip(confirmed);
+        let moment = moment.and_then(|(store, confirmed_ms)| store.to_local_time(confirmed_ms));
         let Some(moment) = moment else { return };
         self.node.note_answered_elsewhere(moment);
         if version == self.node.version() {
@@ -163,7 +163,7 @@
         if let Some(back) = back {
             self.node.note_platform_back(back);
         }
-        if let Err(error) = self.node.roster.hear(news) {
+        if let Err(error) = self.node.host_list.apply_from_peer(news) {
             slog::warn!(
                 self.node.log, "a change of the host list from another host cannot be read";
                 "host" => &**from, "cause" => %error,
@@ -203,7 +203,7 @@
 async fn read_frame(request: &mut Request) -> Result<Vec<Message>, FrameError> {
     let mut length = [0; LENGTH_BYTES];
     request.read_exact(&mut length).await?;
-    let mut body = vec![0; message::length(length)?];
+    let mut body = vec![0; message::frame_length(length)?];
     request.read_exact(&mut body).await?;
     Ok(message::unpack(&body)?)
 }
--- a/cypressvane/src/transport/platform/fetch.rs
+++ b/cypressvane/src/transport/platform/fetch.rs
@@ -85,8 +85,8 @@
         return Err(row("its manifest does not match its digest".to_owned()));
     }
     let version = bundle.record.version;
-    let active = if node.source.is_some() {
-        let fleet = bundle.manifest.join(&bundle.texts)?;
+    let active = if node.config_store.is_some() {
+        let fleet = bundle.manifest.assemble(&bundle.texts)?;
         activate_external(version, fleet).await?
     } else {
         activate(bundle).await?
--- a/cypressvane/src/transport/platform/follow.rs
+++ b/cypressvane/src/transport/platform/follow.rs
@@ -31,8 +31,8 @@
 
 /// Follows the configuration for as long as the host runs; `nudges` wake the task early.
 pub(crate) async fn run(node: Arc<Node>, nudges: Receiver<()>) {
-    if let Some(source) = &node.source {
-        source::follow(&node, source.as_ref(), &nudges).await;
+    if let Some(config_store) = &node.config_store {
+        source::follow(&node, config_store.as_ref(), &nudges).await;
         return;
     }
     loop {
@@ -89,7 +89,7 @@
 /// hosts that start together do not all read the parts from the table.
 async fn fetch_from_peers(node: &Node, version: u64, parts: usize) -> bool {
     let has_many = parts > FEW_PARTS;
-    let name = digest::hex(node.config.host.name.as_bytes());
+    let name = digest::sha256_hex(node.config.host.name.as_bytes());
     let share = u32::from_str_radix(&name[..4], 16).unwrap_or(0);
     let extra = if has_many {
         PEERS_WAIT_EXTRA * share / u32::from(u16::MAX)
@@ -158,7 +158,7 @@
 /// The manifest of a version derived from the version before it, if that one is in force here.
 fn derived_manifest(active: Option<&Active>, record: &Record) -> Option<Manifest> {
     let active = active.filter(|active| active.record.version + 1 == record.version)?;
-    let manifest = active.manifest.with(record.changes.as_ref()?);
+    let manifest = active.manifest.apply(record.changes.as_ref()?);
     (manifest.digest() == record.manifest).then_some(manifest)
 }
 
@@ -171,7 +171,7 @@
             cause: "it does not exist".to_owned(),
         });
     };
-    if digest::hex(row.value.as_bytes()) != digest {
+    if digest::sha256_hex(row.value.as_bytes()) != digest {
         return Err(Error::Row {
             key,
             cause: "it does not match its digest".to_owned(),
--- a/cypressvane/src/transport/platform/roster.rs
+++ b/cypressvane/src/transport/platform/host_list.rs
@@ -11,7 +11,7 @@
 use crate::protocol::message::Message;
 use crate::state::clock::Instant;
 use crate::state::name::Name;
-use crate::state::platform::{self, Attention, Entry, Kind, Listing, Presence};
+use crate::state::platform::{self, Entry, FollowMode, Kind, Listing, Presence};
 use crate::state::units::millis;
 use crate::transport::node::Node;
 use crate::transport::rollout::pool_of;
@@ -51,24 +51,24 @@
     let mut entered_at = None;
     let mut last_returns = None;
     loop {
-        let mut pause = node.roster.rest();
+        let mut pause = node.host_list.read_interval();
         let region = node.config.host.region.clone();
         let read_timeout = retention.next_expiry().map_or(READ_TIMEOUT, |end| {
             READ_TIMEOUT.min(end.saturating_duration_since(Instant::now()))
         });
         let listing = within(
             read_timeout,
-            node.roster.list(Some(&region), last_tag.as_deref()),
+            node.host_list.list(Some(&region), last_tag.as_deref()),
         )
         .await;
         match listing {
             Some(Ok(Listing::Entries {
                 tag,
                 entries,
-                told,
+                is_from_peer,
                 faults,
             })) => {
-                log_changes(&node, &listed, &entries, tag.as_deref(), told);
+                log_changes(&node, &listed, &entries, tag.as_deref(), is_from_peer);
                 last_tag = tag;
                 listed = entries;
                 for fault in faults {
@@ -91,12 +91,12 @@
         if has_recovered(&node, &mut is_unavailable, last_tag.is_some()) {
             node.note_platform_back(Instant::now());
         }
-        let returns = Some(node.roster.returns());
+        let returns = Some(node.host_list.restore_count());
         if returns != last_returns {
             // The platform may have lost the entry of this host.
             entered_at = None;
             last_returns = returns;
-            node.note_returns(node.roster.returns());
+            node.note_returns(node.host_list.restore_count());
         }
         let entries = retention.merge(listed.clone(), node.platform_back(), Instant::now());
         let is_read = last_tag.is_some() || !entries.is_empty();
@@ -108,7 +108,7 @@
             apply(&node, &last);
             last_version = version;
         }
-        if node.roster.takes_entries() && is_read {
+        if node.host_list.has_self_registration() && is_read {
             maintain_entries(&node, &last, &mut entered_at).await;
         }
         // It makes no difference whether an installed configuration or the timeout ends the wait.
@@ -117,7 +117,13 @@
 }
 
 /// Logs which backend servers have changed in the list, and whether another host reported it.
-fn log_changes(node: &Node, before: &[Entry], after: &[Entry], tag: Option<&str>, told: bool) {
+fn log_changes(
+    node: &Node,
+    before: &[Entry],
+    after: &[Entry],
+    tag: Option<&str>,
+    is_from_peer: bool,
+) {
     // The first read is not a change.
     if before.is_empty() {
         return;
@@ -125,7 +131,7 @@
     let states = |entries: &[Entry]| -> HashMap<Name, &'static str> {
         let servers = entries.iter().filter(|entry| entry.kind == Kind::Backend);
         servers
-            .map(|entry| (entry.name.clone(), entry.presence.word()))
+            .map(|entry| (entry.name.clone(), entry.presence.text()))
             .collect()
     };
     let (before, after) = (states(before), states(after));
@@ -137,7 +143,7 @@
             slog::info!(
                 node.log, "a backend server stands otherwise in the host list";
                 "server" => &**name, "before" => before.unwrap_or("absent"),
-                "after" => after.unwrap_or("absent"), "revision" => tag, "told" => told,
+                "after" => after.unwrap_or("absent"), "revision" => tag, "told" => is_from_peer,
             );
         }
     }
@@ -163,7 +169,7 @@
         && !entries.contains(&own_entry)
         && is_new
     {
-        let result = node.roster.enter(&own_entry).await;
+        let result = node.host_list.register(&own_entry).await;
         *entered_at = result.is_ok().then(Instant::now);
         log_failure(node, "adding this host", result);
     }
@@ -173,7 +179,11 @@
     }
     for host in node.links.silent_for(REMOVE_AFTER, Instant::now()) {
         slog::info!(node.log, "a silent host is struck out of the list"; "host" => &*host);
-        log_failure(node, "removing a host", node.roster.strike(&host).await);
+        log_failure(
+            node,
+            "removing a host",
+            node.host_list.deregister(&host).await,
+        );
     }
 }
 
@@ -182,19 +192,19 @@
 ///
 /// Before its links are connected, a starting host counts only few hosts and ranks itself among the followers. For some
 /// seconds it also ranks itself among all hosts in the list, and is patient if it would not be a follower there.
-pub(crate) fn attention(node: &Node) -> Attention {
+pub(crate) fn follow_mode(node: &Node) -> FollowMode {
     let followers = node.config.platform.list_followers;
     if followers == 0 || !node.links.has_roster() {
-        return Attention::Close;
+        return FollowMode::Immediate;
     }
     if node.links.place_for(LIST_SUBJECT) >= followers {
-        return Attention::Seldom;
+        return FollowMode::Passive;
     }
     let is_starting = node.started.elapsed() < STARTUP;
     if is_starting && node.links.place_among_known(LIST_SUBJECT) >= followers {
-        return Attention::Patient;
+        return FollowMode::Batched;
     }
-    Attention::Close
+    FollowMode::Immediate
 }
 
 /// Whether this host announces changes of the list to the others: a few of its followers do, for those that do not
@@ -211,7 +221,7 @@
 /// Announces the changes of the list that this host sees, for as long as it runs.
 pub(crate) async fn pass_on(node: Arc<Node>) {
     loop {
-        let news = node.roster.news().await;
+        let news = node.host_list.next_outgoing_changes().await;
         if !is_announcer(&node) {
             continue;
         }
--- a/cypressvane/src/transport/platform/install.rs
+++ b/cypressvane/src/transport/platform/install.rs
@@ -44,7 +44,7 @@
 
 /// Checks a version and derives what the request path needs from it.
 fn derive(bundle: Bundle) -> Result<Active, Error> {
-    let fleet = bundle.manifest.join(&bundle.texts)?;
+    let fleet = bundle.manifest.assemble(&bundle.texts)?;
     fleet.check()?;
     let policies = policy::Programs::compile(&fleet)?;
     Ok(Active {
@@ -61,7 +61,7 @@
 pub(super) async fn activate_external(version: u64, fleet: Fleet) -> Result<Active, Error> {
     let active = smol::unblock(move || {
         fleet.check()?;
-        Ok::<_, Error>(Active::outside(version, fleet)?)
+        Ok::<_, Error>(Active::external(version, fleet)?)
     });
     active.await
 }
--- a/cypressvane/src/transport/platform/mod.rs
+++ b/cypressvane/src/transport/platform/mod.rs
@@ -2,8 +2,8 @@
 
 mod fetch;
 pub(crate) mod follow;
+pub(crate) mod host_list;
 mod install;
-pub(crate) mod roster;
 mod source;
 
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use http_types::{Body, Method, Request};
 use serde::Serialize;
 
-use crate::state::platform::{Error, Expect, Listing, Pending, Roster, Row, Table, Write};
+use crate::state::platform::{BoxFuture, Error, Expect, HostList, Listing, Row, Table, Write};
 use crate::transport::http::client;
 
 /// Timeout of a call to the platform.
@@ -27,7 +27,7 @@
 
 /// The host list at an address.
 #[derive(Debug)]
-pub(crate) struct HttpRoster(pub(crate) SocketAddr);
+pub(crate) struct HttpHostList(pub(crate) SocketAddr);
 
 /// The body of a conditional write.
 #[derive(Serialize)]
@@ -67,7 +67,7 @@
 }
 
 impl Table for HttpTable {
-    fn get<'a>(&'a self, key: &'a str) -> Pending<'a, Result<Option<Row>, Error>> {
+    fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Row>, Error>> {
         Box::pin(async move {
             let reply = call(self.0, Method::Get, &format!("/table/{key}"), None).await?;
             match reply.status() {
@@ -85,7 +85,7 @@
         key: &'a str,
         value: &'a str,
         expect: Expect,
-    ) -> Pending<'a, Result<Write, Error>> {
+    ) -> BoxFuture<'a, Result<Write, Error>> {
         Box::pin(async move {
             let revision = match expect {
                 Expect::Absent => None,
@@ -103,12 +103,12 @@
     }
 }
 
-impl Roster for HttpRoster {
+impl HostList for HttpHostList {
     fn list<'a>(
         &'a self,
         region: Option<&'a str>,
         known: Option<&'a str>,
-    ) -> Pending<'a, Result<Listing, Error>> {
+    ) -> BoxFuture<'a, Result<Listing, Error>> {
         Box::pin(async move {
             let path = region.map_or_else(
                 || "/hosts".to_owned(),
@@ -130,7 +130,7 @@
                     Ok(Listing::Entries {
                         tag,
                         entries,
-                        told: false,
+                        is_from_peer: false,
                         faults: Vec::new(),
                     })
                 }
--- a/cypressvane/src/transport/platform/source.rs
+++ b/cypressvane/src/transport/platform/source.rs
@@ -11,7 +11,7 @@
 use crate::coordination::backoff::Backoff;
 use crate::coordination::retry_delay::{LastAnswers, RetryDelay};
 use crate::state::clock::Instant;
-use crate::state::platform::Source;
+use crate::state::platform::ConfigStore;
 use crate::transport::node::Node;
 use crate::transport::runtime::within;
 
@@ -35,17 +35,17 @@
 
 /// Polls the configuration source of the platform, and fetches from other hosts what the polls do not deliver; `nudges`
 /// signal that another host has a newer version.
-pub(super) async fn follow(node: &Node, source: &dyn Source, nudges: &Receiver<()>) {
+pub(super) async fn follow(node: &Node, config_store: &dyn ConfigStore, nudges: &Receiver<()>) {
     let (fetched, peer_fetches) = async_channel::bounded(1);
     let following_peers = fetch::follow_peers(node, nudges, &fetched);
-    poll_loop(node, source, &peer_fetches)
+    poll_loop(node, config_store, &peer_fetches)
         .or(following_peers)
         .await;
 }
 
 /// Polls the source in a loop; `peer_fetches` signal that another host has provided a version that a poll did not
 /// deliver.
-async fn poll_loop(node: &Node, source: &dyn Source, peer_fetches: &Receiver<()>) {
+async fn poll_loop(node: &Node, config_store: &dyn ConfigStore, peer_fetches: &Receiver<()>) {
     let mut backoff = Backoff::new(BACKOFF_FIRST);
     loop {
         let closely = polls_closely(node);
@@ -59,7 +59,7 @@
         };
         // Drops a signal from before this poll, if there is one: it says nothing about this poll.
         let _ = peer_fetches.try_recv();
-        let polled = async { Outcome::Polled(poll(node, source, wait).await) };
+        let polled = async { Outcome::Polled(poll(node, config_store, wait).await) };
         let polled = match polled.or(abandoned(node, closely, peer_fetches)).await {
             Outcome::Polled(polled) => polled,
             Outcome::Stale => continue,
@@ -69,7 +69,7 @@
                     "version" => node.version(),
                 );
                 // This poll runs to its end, so that a slow platform does not get one abandoned call after another.
-                poll(node, source, Duration::ZERO).await
+                poll(node, config_store, Duration::ZERO).await
             }
         };
         let has_changed = node.note_source(polled.is_ok(), Instant::now());
@@ -88,16 +88,16 @@
                     );
                 }
                 let for_all = node.links.place_among_known(CONFIGURATION_SUBJECT) < POLLERS;
-                back_off(node, source, backoff.next_delay(for_all)).await;
+                back_off(node, config_store, backoff.next_delay(for_all)).await;
             }
         }
     }
 }
 
 /// Waits for up to `length` after a failed poll. Answers of the platform to this host or to others shorten the wait.
-async fn back_off(node: &Node, source: &dyn Source, length: Duration) {
+async fn back_off(node: &Node, config_store: &dyn ConfigStore, length: Duration) {
     let answered = || LastAnswers {
-        here: source.answered(),
+        here: config_store.last_answered(),
         elsewhere: node.answered_elsewhere(),
     };
     let delay = RetryDelay::begin(length, answered(), Instant::now());
@@ -159,23 +159,23 @@
     CLOSE_WAIT.saturating_sub(WAIT_STAGGER * place)
 }
 
-async fn poll(node: &Node, source: &dyn Source, wait: Duration) -> Result<(), Error> {
-    let look = source.look(node.version(), wait).await?;
-    for fault in look.faults {
+async fn poll(node: &Node, config_store: &dyn ConfigStore, wait: Duration) -> Result<(), Error> {
+    let state = config_store.poll(node.version(), wait).await?;
+    for fault in state.faults {
         slog::warn!(node.log, "an order of a roll-out cannot be read"; "cause" => fault);
     }
-    node.rollouts.note_orders(&look.orders);
-    if let Some((version, fleet)) = look.newer {
+    node.rollouts.note_orders(&state.orders);
+    if let Some((version, fleet)) = state.newer {
         node.install(activate_external(version, fleet).await?);
     }
-    node.note_returns(look.returns);
+    node.note_returns(state.restore_count);
     if node.is_behind() {
         // Another host has a newer version, which the platform has lost or this poll has missed.
         return Ok(());
     }
-    node.confirm(look.confirmed);
-    if let Some(stamp) = look.stamp {
-        node.links.tell_confirmed(node.version(), stamp);
+    node.confirm(state.confirmed);
+    if let Some(confirmed_ms) = state.confirmed_ms {
+        node.links.tell_confirmed(node.version(), confirmed_ms);
     }
     Ok(())
 }
--- a/cypressvane/src/transport/quarantine/keeper.rs
+++ b/cypressvane/src/transport/quarantine/keeper.rs
@@ -127,7 +127,7 @@
         written_ms: millis(since_epoch()),
         rulings: rulings
             .iter()
-            .map(|ruling| message::Ruling::told(ruling, now))
+            .map(|ruling| message::Ruling::from_local(ruling, now))
             .collect(),
     }
 }
--- a/cypressvane/src/transport/quarantine/mod.rs
+++ b/cypressvane/src/transport/quarantine/mod.rs
@@ -149,7 +149,7 @@
     /// Records that a server ended while it ran a request of another host.
     pub(crate) fn hear_ended(&self, from: &Name, message: message::Ended, now: Instant) {
         let fingerprint = message.fingerprint;
-        let (subject, end) = message.heard(now);
+        let (subject, end) = message.into_local(now);
         let outcome = self.update(|known| known.ended(fingerprint, &subject, end, now));
         if let EndOutcome::Quarantined(ruling) = outcome {
             self.log_quarantined(&ruling, Some(from));
@@ -192,7 +192,7 @@
     pub(crate) fn hear(&self, from: &str, rulings: Vec<message::Ruling>, now: Instant) {
         let mut is_news = false;
         for ruling in rulings {
-            let ruling = ruling.heard(now);
+            let ruling = ruling.into_local(now);
             if self.update(|known| known.merge(ruling.clone(), now)) {
                 is_news = true;
                 if ruling.is_quarantined() {
@@ -328,7 +328,7 @@
 fn rulings_message(rulings: &[Ruling], now: Instant) -> Message {
     let messages = rulings
         .iter()
-        .map(|ruling| message::Ruling::told(ruling, now));
+        .map(|ruling| message::Ruling::from_local(ruling, now));
     Message::Rulings {
         rulings: messages.collect(),
     }
--- a/cypressvane/src/transport/rollout/coordinator.rs
+++ b/cypressvane/src/transport/rollout/coordinator.rs
@@ -7,10 +7,10 @@
 
 use super::{Rollouts, coordinator_subject};
 use crate::coordination::rollout::{Instruction, Report, Rollout, Summary};
-use crate::protocol::message::{Message, RolloutWord};
+use crate::protocol::message::{Message, RolloutInstruction};
 use crate::state::clock::Instant;
 use crate::state::name::Name;
-use crate::state::platform::{Error, Expect, Kept, Source, Write};
+use crate::state::platform::{ConfigStore, Error, Expect, StoredRollout, Write};
 use crate::state::rollout::{Order, Progress, Stage};
 use crate::transport::node::Node;
 use crate::transport::runtime::lock;
@@ -48,12 +48,14 @@
 
 /// Decides the orders that this host coordinates, for as long as it runs.
 pub(crate) async fn run(node: Arc<Node>) {
-    let Some(source) = &node.source else { return };
+    let Some(config_store) = &node.config_store else {
+        return;
+    };
     loop {
         Timer::after(STEP_INTERVAL).await;
         node.rollouts.forget_moved();
         for order in node.rollouts.open_orders() {
-            if let Err(error) = step(&node, source.as_ref(), &order).await {
+            if let Err(error) = step(&node, config_store.as_ref(), &order).await {
                 node.note_platform_failure("rollouts");
                 slog::warn!(
                     node.log, "a roll-out is not read or kept yet";
@@ -66,17 +68,17 @@
 }
 
 /// Starts to coordinate an order, or stores its new progress.
-async fn step(node: &Node, source: &dyn Source, order: &Order) -> Result<(), Error> {
+async fn step(node: &Node, config_store: &dyn ConfigStore, order: &Order) -> Result<(), Error> {
     let rollouts = &node.rollouts;
     if !rollouts.coordinates(order) {
-        let kept = source.rollout(&order.service).await?;
-        rollouts.open(source, order, kept.as_ref());
+        let kept = config_store.load_rollout(&order.service).await?;
+        rollouts.open(config_store, order, kept.as_ref());
     }
     let now = Instant::now();
     rollouts.send_changes(&order.service, now);
     match rollouts.next_progress(&order.service, now) {
         Some(progress) => {
-            store_progress(node, source, order, &progress).await?;
+            store_progress(node, config_store, order, &progress).await?;
             rollouts.send_changes(&order.service, Instant::now());
         }
         None => rollouts.note_up_to_date(&order.service),
@@ -87,12 +89,12 @@
 /// Stores a roll-out's progress, unless the platform has its end or a larger allotment already.
 async fn store_progress(
     node: &Node,
-    source: &dyn Source,
+    config_store: &dyn ConfigStore,
     order: &Order,
     progress: &Progress,
 ) -> Result<(), Error> {
-    let kept = source.rollout(&order.service).await?;
-    let own = kept.as_ref().filter(|kept| order.owns(&kept.progress));
+    let kept = config_store.load_rollout(&order.service).await?;
+    let own = kept.as_ref().filter(|kept| order.matches(&kept.progress));
     if let Some(own) = own
         && (own.progress.stage != Stage::InProgress || own.progress.allotted > progress.allotted)
     {
@@ -101,8 +103,8 @@
         return Ok(());
     }
     let expect = kept.map_or(Expect::Absent, |kept| Expect::Revision(kept.revision));
-    if source
-        .keep_rollout(&order.service, progress, expect)
+    if config_store
+        .store_rollout(&order.service, progress, expect)
         .await?
         == Write::Done
     {
@@ -137,14 +139,14 @@
     }
 
     /// Starts to coordinate an order from its stored progress.
-    fn open(&self, source: &dyn Source, order: &Order, kept: Option<&Kept>) {
+    fn open(&self, config_store: &dyn ConfigStore, order: &Order, kept: Option<&StoredRollout>) {
         let now = Instant::now();
         let kept = kept.map(|kept| &kept.progress);
-        let own = kept.filter(|kept| order.owns(kept));
+        let own = kept.filter(|kept| order.matches(kept));
         let due = match own {
-            Some(own) => source.moment(own.due_ms),
-            None => source
-                .moment(order.seen_ms)
+            Some(own) => config_store.to_local_time(own.due_ms),
+            None => config_store
+                .to_local_time(order.seen_ms)
                 .map(|seen| seen + order.duration),
         };
         let due = due.unwrap_or(now + order.duration);
@@ -233,7 +235,7 @@
         let Some(to) = self.ordered_version(service, number) else {
             return;
         };
-        let instruction = RolloutWord {
+        let instruction = RolloutInstruction {
             service: service.clone(),
             number,
             to,
@@ -280,7 +282,7 @@
                 "why" => summary.why, "requests" => summary.requests, "dealt" => summary.dealt,
                 "answers" => summary.answers, "failures" => summary.failures,
             );
-            RolloutWord {
+            RolloutInstruction {
                 service: service.clone(),
                 number: own.number(),
                 to: own.rollout.order().to.clone(),
--- a/cypressvane/src/transport/rollout/known.rs
+++ b/cypressvane/src/transport/rollout/known.rs
@@ -8,7 +8,7 @@
 use super::way::Canary;
 use super::{Rollouts, pool_of};
 use crate::coordination::rollout::version::{self, KnownVersions};
-use crate::protocol::message::RolloutWord;
+use crate::protocol::message::RolloutInstruction;
 use crate::state::name::Name;
 use crate::state::platform::Entry;
 use crate::state::rollout::{Order, Stage};
@@ -87,7 +87,7 @@
             if known
                 .order
                 .as_ref()
-                .is_some_and(|known| order.is_again(known))
+                .is_some_and(|known| order.is_resubmission_of(known))
             {
                 self.renumber(known, order);
                 continue;
@@ -196,7 +196,7 @@
     pub(super) fn note_end(
         &self,
         known: &mut Versions,
-        instruction: &RolloutWord,
+        instruction: &RolloutInstruction,
         stage: Stage,
     ) -> bool {
         let is_known = known
--- a/cypressvane/src/transport/rollout/mod.rs
+++ b/cypressvane/src/transport/rollout/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::coordination::rollout::{Bounds, Instruction};
 use crate::protocol::dump;
-use crate::protocol::message::{Message, RolloutWord};
+use crate::protocol::message::{Message, RolloutInstruction};
 use crate::state::clock::Instant;
 use crate::state::config;
 use crate::state::name::Name;
@@ -196,14 +196,14 @@
     }
 
     /// Handles an instruction from an order's coordinator.
-    pub(crate) fn hear_word(&self, instruction: &RolloutWord, now: Instant) {
+    pub(crate) fn hear_word(&self, instruction: &RolloutInstruction, now: Instant) {
         if self.apply_word(instruction, now) {
             self.has_changed.store(true, Ordering::Relaxed);
         }
     }
 
     /// Applies an instruction; returns whether that changes the servers that may get requests.
-    fn apply_word(&self, instruction: &RolloutWord, now: Instant) -> bool {
+    fn apply_word(&self, instruction: &RolloutInstruction, now: Instant) -> bool {
         let mut versions = lock(&self.versions);
         let known = versions.entry(instruction.service.clone()).or_default();
         let is_older = known
--- a/cypressvane/src/transport/trace.rs
+++ b/cypressvane/src/transport/trace.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::protocol::exchange::Load;
+use crate::protocol::headers::Load;
 use crate::protocol::refusal::Reason;
 use crate::state::clock::Instant;
 use crate::state::name::Name;
--- a/cypressvane/tests/exchange.rs
+++ b/cypressvane/tests/exchange.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use cypressvane::events::Cutter;
-use cypressvane::exchange::{Delivery, Dialect, Limit, Load, Usage};
-use cypressvane::fleet::{Fleet, Index, Method, Route, Split, Tier};
+use cypressvane::events::Splitter;
+use cypressvane::fleet::{CallKind, Fleet, Index, Route, Split, Tier};
+use cypressvane::headers::{Dialect, ForwardMeta, Limit, Load, Usage};
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 fn route(name: &str, host: &str, prefix: &str, splits: &[(&str, u32)]) -> Route {
@@ -19,7 +19,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         splits: splits.iter().map(split).collect(),
-        method: Method::Idempotent,
+        method: CallKind::Idempotent,
         tier: "urgent".into(),
         objective_ms: 100,
         gap_ms: 0,
@@ -91,7 +91,7 @@
         if tail {
             bytes.extend_from_slice(b"id: 10\ndata: half");
         }
-        let mut cutter = Cutter::default();
+        let mut splitter = Splitter::default();
         let mut events = Vec::new();
         let mut remaining = &bytes[..];
         for chunk_size in chunk_sizes.iter().copied().chain(std::iter::repeat(7)) {
@@ -100,9 +100,9 @@
             }
             let (chunk, rest) =
                 remaining.split_at(usize::from(chunk_size % 16).min(remaining.len()));
-            cutter.push(chunk);
+            splitter.push(chunk);
             remaining = rest;
-            while let Some(event) = cutter.next_event() {
+            while let Some(event) = splitter.next_event() {
                 events.push(event);
             }
         }
@@ -111,7 +111,9 @@
             .iter()
             .flat_map(|event| event.bytes.to_vec())
             .collect();
-        ids == [Some(1), Some(2), None, Some(9)] && joined == whole && (cutter.rest() > 0) == tail
+        ids == [Some(1), Some(2), None, Some(9)]
+            && joined == whole
+            && (splitter.pending_len() > 0) == tail
     }
     seeded::quickcheck().quickcheck(property as fn(Vec<u8>, bool) -> bool);
 }
@@ -127,7 +129,7 @@
 #[test]
 fn headers_are_parsed_and_malformed_ones_ignored() {
     let dialect = Dialect::native();
-    let ask = dialect.ask(&headers(&[
+    let ask = dialect.read_request(&headers(&[
         ("x-request-id", "a"),
         ("cypressvane-deadline-ms", "1500"),
         ("authorization", "bearer  key "),
@@ -135,14 +137,14 @@
         ("last-event-id", "12"),
     ]));
     assert_eq!(ask.id.as_deref(), Some("a"));
-    assert_eq!(ask.patience, Some(Duration::from_millis(1_500)));
+    assert_eq!(ask.timeout, Some(Duration::from_millis(1_500)));
     assert_eq!(ask.key.as_deref(), Some("key"));
     let usage = Usage {
         prompt: 10,
         answer: 5,
     };
     assert_eq!((ask.usage, ask.last_event), (Some(usage), Some(12)));
-    let malformed = dialect.ask(&headers(&[
+    let malformed = dialect.read_request(&headers(&[
         ("x-request-id", "a"),
         ("x-request-id", "b"),
         ("cypressvane-deadline-ms", "-1"),
@@ -150,25 +152,25 @@
         ("cypressvane-usage", "10"),
         ("last-event-id", "x"),
     ]));
-    assert_eq!(malformed, cypressvane::exchange::Ask::default());
+    assert_eq!(malformed, cypressvane::headers::RequestMeta::default());
     let mut sent = headers(&[
         ("authorization", "Bearer key"),
         ("cypressvane-account", "forged"),
     ]);
-    let delivery = Delivery {
+    let delivery = ForwardMeta {
         left: Duration::from_millis(900),
         account: None,
         server: "s-1",
         last_event: Some(3),
     };
-    dialect.deliver(&mut sent, &delivery);
+    dialect.write_request(&mut sent, &delivery);
     let expected = headers(&[
         ("cypressvane-deadline-ms", "900"),
         ("cypressvane-server", "s-1"),
         ("last-event-id", "3"),
     ]);
     assert_eq!(sent, expected);
-    let reply = dialect.reply(
+    let reply = dialect.read_answer(
         StatusCode::SERVICE_UNAVAILABLE,
         &headers(&[("cypressvane-load", "3,0,8")]),
     );
@@ -180,7 +182,7 @@
     assert_eq!((reply.not_run, reply.load), (false, Some(load)));
     assert!(
         dialect
-            .reply(StatusCode::MISDIRECTED_REQUEST, &HeaderMap::new())
+            .read_answer(StatusCode::MISDIRECTED_REQUEST, &HeaderMap::new())
             .not_run
     );
 }
@@ -188,7 +190,7 @@
 #[test]
 fn a_limit_is_a_single_plain_number_or_malformed() {
     let cases: &[(&[&str], Limit)] = &[
-        (&[], Limit::Unnamed),
+        (&[], Limit::Absent),
         (&["3.2"], Limit::PerSecond(3.2)),
         (&[" 5 "], Limit::PerSecond(5.0)),
         (&["0"], Limit::PerSecond(0.0)),
@@ -210,7 +212,7 @@
             .iter()
             .map(|value| ("cypressvane-limit", *value))
             .collect();
-        let reply = Dialect::native().reply(StatusCode::OK, &headers(&pairs));
+        let reply = Dialect::native().read_answer(StatusCode::OK, &headers(&pairs));
         assert_eq!(reply.limit, *limit, "{values:?}");
     }
 }
@@ -225,9 +227,9 @@
         (StatusCode::MISDIRECTED_REQUEST, "a", false),
     ];
     for (status, id, is_from_server) in cases {
-        let reply = dialect.reply(status, &headers(&[("x-request-id", id)]));
+        let reply = dialect.read_answer(status, &headers(&[("x-request-id", id)]));
         assert_eq!(
-            reply.tells_of_server(Some("a")),
+            reply.is_from_intended_server(Some("a")),
             is_from_server,
             "{status} {id}"
         );
--- a/cypressvane/tests/fleet.rs
+++ b/cypressvane/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use cypressvane::digest;
 use cypressvane::fleet::{Fleet, Index};
-use cypressvane::manifest::{Cut, Manifest};
+use cypressvane::manifest::{Manifest, Partition};
 use cypressvane::name::Name;
 use quickcheck::{Arbitrary, Gen};
 
@@ -141,14 +141,14 @@
     let key = "secret";
     let text = VALID.replace(
         "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff",
-        &digest::hex(key.as_bytes()),
+        &digest::sha256_hex(key.as_bytes()),
     );
     let index = Index::new(Fleet::parse(&text).expect("the configuration is valid"));
     assert_eq!(
         index.account(key).map(|account| &*account.name),
         Some("rangers")
     );
-    for wrong in ["", "Secret", "secret ", &digest::hex(key.as_bytes())] {
+    for wrong in ["", "Secret", "secret ", &digest::sha256_hex(key.as_bytes())] {
         assert!(index.account(wrong).is_none(), "{wrong:?}");
     }
 }
@@ -174,7 +174,7 @@
     let mut fleet = Fleet::parse(VALID).expect("the configuration is valid");
     let account = fleet.accounts.remove(0);
     for name in &names.0 {
-        let key_sha256 = digest::hex(name.as_bytes());
+        let key_sha256 = digest::sha256_hex(name.as_bytes());
         fleet.accounts.push(cypressvane::fleet::Account {
             name: name.as_str().into(),
             key_sha256,
@@ -188,10 +188,12 @@
 fn joined_parts_equal_the_original_configuration() {
     fn property(names: Names) -> bool {
         let fleet = fleet_with(&names);
-        let cut = Cut::new(&fleet);
+        let cut = Partition::new(&fleet);
         let manifest =
             Manifest::parse(&cut.manifest.text()).expect("a manifest parses its own text");
-        let mut joined = manifest.join(&cut.texts).expect("all parts are present");
+        let mut joined = manifest
+            .assemble(&cut.texts)
+            .expect("all parts are present");
         joined
             .accounts
             .sort_by(|one, other| one.name.cmp(&other.name));
@@ -204,9 +206,9 @@
 fn a_change_of_one_account_changes_one_part() {
     let names = Names((0..1000).map(|index| format!("account-{index}")).collect());
     let mut fleet = fleet_with(&names);
-    let before = Cut::new(&fleet);
+    let before = Partition::new(&fleet);
     fleet.accounts[500].in_flight = Some(7);
-    let after = Cut::new(&fleet);
+    let after = Partition::new(&fleet);
     let changed = after
         .texts
         .keys()
@@ -216,26 +218,26 @@
 
 #[test]
 fn an_altered_or_missing_part_is_detected() {
-    let cut = Cut::new(&fleet_with(&Names(vec![
+    let cut = Partition::new(&fleet_with(&Names(vec![
         "one".to_owned(),
         "two".to_owned(),
     ])));
     for digest in cut.texts.keys() {
         let mut altered = cut.texts.clone();
         altered.insert(digest.clone(), "[]".to_owned());
-        assert!(cut.manifest.join(&altered).is_err());
+        assert!(cut.manifest.assemble(&altered).is_err());
         let mut missing = cut.texts.clone();
         missing.remove(digest);
-        assert!(cut.manifest.join(&missing).is_err());
+        assert!(cut.manifest.assemble(&missing).is_err());
     }
 }
 
 #[test]
 fn applied_changes_yield_the_next_manifest() {
     fn property(before: Names, after: Names) -> bool {
-        let before = Cut::new(&fleet_with(&before)).manifest;
-        let after = Cut::new(&fleet_with(&after)).manifest;
-        before.with(&after.changes_from(&before)) == after
+        let before = Partition::new(&fleet_with(&before)).manifest;
+        let after = Partition::new(&fleet_with(&after)).manifest;
+        before.apply(&after.changes_from(&before)) == after
     }
     seeded::quickcheck().quickcheck(property as fn(Names, Names) -> bool);
 }
--- a/cypressvane/tests/pool/early.rs
+++ b/cypressvane/tests/pool/early.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
-use cypressvane::pool::{Belief, End, Pool};
+use cypressvane::pool::{End, EngineDefaults, Pool};
 
 use crate::common::{granted, grants_and_refusals, impatient_offer, spec, ticket};
 
@@ -11,11 +11,11 @@
 const PATIENCE: Duration = Duration::from_secs(15);
 
 fn pool(slots: u32, now: Instant) -> Pool {
-    let belief = Belief {
+    let defaults = EngineDefaults {
         prefill_rate: 40_000.0,
-        ..Belief::default()
+        ..EngineDefaults::default()
     };
-    let mut pool = Pool::believing("echo".into(), 1_000, belief);
+    let mut pool = Pool::with_defaults("echo".into(), 1_000, defaults);
     pool.set_servers(&[spec(0, slots)], now);
     pool
 }
@@ -159,7 +159,7 @@
 #[test]
 fn a_shed_request_is_recognised_when_it_returns() {
     let now = Instant::now();
-    let mut pool = Pool::believing("echo".into(), 1, Belief::default());
+    let mut pool = Pool::with_defaults("echo".into(), 1, EngineDefaults::default());
     pool.set_servers(&[spec(0, 1)], now);
     assert_eq!(granted(pool.offer(impatient_offer(1, 0, now), now)), [1]);
     pool.offer(impatient_offer(2, 0, now), now);
--- a/cypressvane/tests/pool/load.rs
+++ b/cypressvane/tests/pool/load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
-use cypressvane::pool::{Belief, End, Offer, Pool};
+use cypressvane::pool::{End, EngineDefaults, Offer, Pool};
 
 use crate::common::{granted, granted_server, grants_and_refusals, impatient_offer, spec, ticket};
 
@@ -42,12 +42,12 @@
 };
 
 fn pool(slots: u32, servers: u16, now: Instant) -> Pool {
-    let belief = Belief {
+    let defaults = EngineDefaults {
         prefill_rate: 40_000.0,
         overhead: 25 * MILLISECOND,
-        ..Belief::default()
+        ..EngineDefaults::default()
     };
-    let mut pool = Pool::believing("echo".into(), 1_000, belief);
+    let mut pool = Pool::with_defaults("echo".into(), 1_000, defaults);
     let specs: Vec<_> = (0..servers).map(|index| spec(index, slots)).collect();
     pool.set_servers(&specs, now);
     pool
--- a/cypressvane_ctl/src/engine.rs
+++ b/cypressvane_ctl/src/engine.rs
@@ -1,6 +1,6 @@
 //! `cypressvane engine`: orders to backend servers.
 
-use cypressvane::order::{Entry, Kind, Order};
+use cypressvane::order::{Kind, Order, OrderRow};
 use http_types::Method;
 
 use crate::cli::{Engine, EngineCommand, LoadArguments};
@@ -42,7 +42,7 @@
     let reply = client
         .call(Method::Post, &format!("/v1/orders?server={server}"), &body)
         .await?;
-    let entry: Entry = parse(&reply)?;
+    let entry: OrderRow = parse(&reply)?;
     output.print(&entry, || {
         format!("{server} carried out order {}", entry.newest.number)
     })
--- a/cypressvane_ctl/tests/commands.rs
+++ b/cypressvane_ctl/tests/commands.rs
@@ -34,7 +34,7 @@
     format!(
         "[[tiers]]\nname = \"{tier}\"\nfirst_token_ms = 460\nbetween_tokens_ms = 41\n\
          [[operators]]\nname = \"operator\"\nkey_sha256 = \"{}\"\n",
-        digest::hex(OPERATOR_KEY.as_bytes())
+        digest::sha256_hex(OPERATOR_KEY.as_bytes())
     )
 }
 
--- a/cypressvane_ctl/tests/engines.rs
+++ b/cypressvane_ctl/tests/engines.rs
@@ -18,8 +18,8 @@
          [[accounts]]\nname = \"rangers\"\nkey_sha256 = \"{}\"\ntier = \"urgent\"\n\
          [[services]]\nname = \"{MODEL}\"\nkind = \"model\"\n\
          [[operators]]\nname = \"operator\"\nkey_sha256 = \"{}\"\n",
-        digest::hex(KEY.as_bytes()),
-        digest::hex(OPERATOR_KEY.as_bytes())
+        digest::sha256_hex(KEY.as_bytes()),
+        digest::sha256_hex(OPERATOR_KEY.as_bytes())
     )
 }
 
--- a/cypressvane_standin/src/bin/measure/shape.rs
+++ b/cypressvane_standin/src/bin/measure/shape.rs
@@ -165,7 +165,7 @@
                 tier.first_token_ms,
                 tier.between_tokens_ms,
                 tier.deadline_ms,
-                digest::hex(tier.name.as_bytes())
+                digest::sha256_hex(tier.name.as_bytes())
             )
         });
         let tiers: Vec<String> = tiers.collect();
@@ -173,7 +173,7 @@
             "{}[[services]]\nname = \"{MODEL}\"\nkind = \"model\"\nslots = {BATCH}\n\
              [[operators]]\nname = \"operator\"\nkey_sha256 = \"{}\"\n",
             tiers.concat(),
-            digest::hex(OPERATOR_KEY.as_bytes())
+            digest::sha256_hex(OPERATOR_KEY.as_bytes())
         )
     }
 
--- a/cypressvane_standin/src/bin/path.rs
+++ b/cypressvane_standin/src/bin/path.rs
@@ -64,8 +64,8 @@
          [[accounts]]\nname = \"path\"\ntier = \"only\"\nkey_sha256 = \"{}\"\n\
          [[services]]\nname = \"{MODEL}\"\nkind = \"model\"\nslots = 4096\n\
          [[operators]]\nname = \"operator\"\nkey_sha256 = \"{}\"\n",
-        digest::hex(KEY.as_bytes()),
-        digest::hex(OPERATOR_KEY.as_bytes())
+        digest::sha256_hex(KEY.as_bytes()),
+        digest::sha256_hex(OPERATOR_KEY.as_bytes())
     )
 }
 
--- a/cypressvane_standin/src/bin/slopes/sizes.rs
+++ b/cypressvane_standin/src/bin/slopes/sizes.rs
@@ -40,7 +40,7 @@
         "[[tiers]]\nname = \"only\"\nfirst_token_ms = 460\nbetween_tokens_ms = 41\n\
          [[services]]\nname = \"{MODEL}\"\nkind = \"model\"\n\
          [[operators]]\nname = \"operator\"\nkey_sha256 = \"{}\"\n",
-        digest::hex(OPERATOR_KEY.as_bytes())
+        digest::sha256_hex(OPERATOR_KEY.as_bytes())
     );
     for index in 0..accounts {
         let name = format!("account-{index}");
@@ -49,7 +49,7 @@
             text,
             "[[accounts]]\nname = \"{name}\"\ntier = \"only\"\nkey_sha256 = \"{}\"\n\
              requests_per_second = {requests_per_second}\n",
-            digest::hex(name.as_bytes())
+            digest::sha256_hex(name.as_bytes())
         );
     }
     text
--- a/cypressvane_standin/src/bin/soak/main.rs
+++ b/cypressvane_standin/src/bin/soak/main.rs
@@ -70,7 +70,7 @@
 
 /// A configuration that differs for each `number`.
 fn configuration(number: u64) -> String {
-    use cypressvane::digest::hex;
+    use cypressvane::digest::sha256_hex;
     use cypressvane_standin::fleet::OPERATOR_KEY;
     let tiers = TIERS.iter().map(|tier| {
         format!(
@@ -78,7 +78,7 @@
              deadline_ms = 8000\n[[accounts]]\nname = \"{tier}\"\ntier = \"{tier}\"\n\
              key_sha256 = \"{}\"\n",
             1_000 + number,
-            hex(tier.as_bytes())
+            sha256_hex(tier.as_bytes())
         )
     });
     let tiers: Vec<String> = tiers.collect();
@@ -86,7 +86,7 @@
         "{}[[services]]\nname = \"{MODEL}\"\nkind = \"model\"\nslots = 8\n\
          [[operators]]\nname = \"operator\"\nkey_sha256 = \"{}\"\n",
         tiers.concat(),
-        hex(OPERATOR_KEY.as_bytes())
+        sha256_hex(OPERATOR_KEY.as_bytes())
     )
 }
 
--- a/cypressvane_standin/src/engine/mod.rs
+++ b/cypressvane_standin/src/engine/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use async_channel::{Receiver, Sender};
-use cypressvane::order::Numbered;
+use cypressvane::order::FencedOrder;
 use cypressvane::prompt::{Call as Completion, Prompt};
 use cypressvane::refusal::Reason;
 use cypressvane::runtime;
@@ -107,7 +107,7 @@
     /// How often each request id was received.
     pub seen: BTreeMap<String, u64>,
     /// The orders that the engine executed, in order.
-    pub orders: Vec<Numbered>,
+    pub orders: Vec<FencedOrder>,
     /// How often each idempotency key was received.
     pub keys: BTreeMap<String, u64>,
     /// Requests whose answer was generated completely.
@@ -228,7 +228,7 @@
 
     /// Executes an order, unless fencing is on and a higher number has been seen.
     fn execute_order(&self, body: &[u8]) -> Response {
-        let Ok(numbered) = serde_json::from_slice::<Numbered>(body) else {
+        let Ok(numbered) = serde_json::from_slice::<FencedOrder>(body) else {
             return answer::empty(StatusCode::BadRequest);
         };
         let mut state = self.state();
--- a/cypressvane_standin/src/fleet.rs
+++ b/cypressvane_standin/src/fleet.rs
@@ -168,7 +168,7 @@
              [listeners]\ncallers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\n\
              peers = \"127.0.0.1:0\"\n\
              [platform]\ntable = \"{address}\"\nhosts = \"{address}\"\npoll_ms = {poll_ms}\n{more}",
-            digest::hex(OPERATOR_KEY.as_bytes()),
+            digest::sha256_hex(OPERATOR_KEY.as_bytes()),
             address = self.platform_address,
             threads = self.threads,
             poll_ms = self.poll_ms,
--- a/cypressvaned/src/dev.rs
+++ b/cypressvaned/src/dev.rs
@@ -77,7 +77,7 @@
                 name: "dev".into(),
                 data_centre: LOCATION.into(),
                 region: LOCATION.into(),
-                peer_key: digest::hex(CALLER_KEY.as_bytes()),
+                peer_key: digest::sha256_hex(CALLER_KEY.as_bytes()),
                 bootstrap_key_sha256: None,
                 threads: 0,
             },
@@ -154,7 +154,7 @@
 
 /// Returns the table rows of an accepted first version.
 fn rows(fleet: &Fleet) -> Vec<(String, String)> {
-    let cut = manifest::Cut::new(fleet);
+    let cut = manifest::Partition::new(fleet);
     cut.rows(&manifest::Record {
         version: 1,
         manifest: cut.manifest.digest(),
@@ -184,7 +184,7 @@
         tiers: vec![tier("urgent", 460), tier("patient", 10_000)],
         accounts: vec![Account {
             name: "dev".into(),
-            key_sha256: digest::hex(CALLER_KEY.as_bytes()),
+            key_sha256: digest::sha256_hex(CALLER_KEY.as_bytes()),
             tier: "urgent".into(),
             ..Account::default()
         }],
@@ -199,7 +199,7 @@
         }],
         operators: vec![Operator {
             name: "dev".into(),
-            key_sha256: digest::hex(OPERATOR_KEY.as_bytes()),
+            key_sha256: digest::sha256_hex(OPERATOR_KEY.as_bytes()),
         }],
         routes: Vec::new(),
     }
--- a/cypressvaned/tests/engine_orders.rs
+++ b/cypressvaned/tests/engine_orders.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cypressvane::client;
-use cypressvane::order::{Entry, Kind, Order, Report, Stage};
+use cypressvane::order::{Kind, Order, OrderRow, Report, Stage};
 use cypressvane::runtime::spawn;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY, get};
@@ -83,12 +83,12 @@
             {
                 let (status, body) = submit_order(fleet.operators(0), step).await?;
                 assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
-                let entry: Entry = serde_json::from_slice(&body)?;
+                let entry: OrderRow = serde_json::from_slice(&body)?;
                 assert_eq!((entry.newest.number, entry.stage), (number, Stage::Done));
             }
             let report = report(&fleet).await?;
-            assert!(report.shows(&load("coast")) && !report.shows(&load("alpine")));
-            assert!(report.shows(&role("decode")));
+            assert!(report.satisfies(&load("coast")) && !report.satisfies(&load("alpine")));
+            assert!(report.satisfies(&role("decode")));
             assert_eq!(last_number(&fleet).await?, 4);
         }
         Ok(())
@@ -114,17 +114,17 @@
                         String::from_utf8_lossy(&body)
                     );
                     if status == 200 {
-                        let entry: Entry = serde_json::from_slice(&body)?;
+                        let entry: OrderRow = serde_json::from_slice(&body)?;
                         let newer = last
                             .as_ref()
-                            .is_none_or(|last: &Entry| last.newest.number < entry.newest.number);
+                            .is_none_or(|last: &OrderRow| last.newest.number < entry.newest.number);
                         last = if newer { Some(entry) } else { last };
                     }
                 }
             }
             let last = last.expect("an order succeeds");
             assert!(
-                report(&fleet).await?.shows(&last.newest.order),
+                report(&fleet).await?.satisfies(&last.newest.order),
                 "fencing {fencing}"
             );
             assert_eq!(last_number(&fleet).await?, last.newest.number);
@@ -219,7 +219,7 @@
                 "fencing {fencing}: the late issuer gets a conflict"
             );
             assert!(
-                report(&fleet).await?.shows(&role("decode")),
+                report(&fleet).await?.satisfies(&role("decode")),
                 "fencing {fencing}"
             );
         }
--- a/cypressvaned/tests/promises/configuration.rs
+++ b/cypressvaned/tests/promises/configuration.rs
@@ -212,7 +212,7 @@
         fleet.add_host("").await?;
         let mut large = numbered(0);
         for index in 0..500 {
-            let key = cypressvane::digest::hex(format!("key-{index}").as_bytes());
+            let key = cypressvane::digest::sha256_hex(format!("key-{index}").as_bytes());
             large.push_str(&format!(
                 "[[accounts]]\nname = \"account-{index}\"\ntier = \"cheap\"\nkey_sha256 = \"{key}\"\n"
             ));
