--- a/cypressvane_ctl/tests/commands.rs
+++ b/cypressvane_ctl/tests/commands.rs
@@ -97,7 +97,7 @@
         fleet.add_host("").await.expect("a host");
         fleet.add_host("").await.expect("a host");
         fleet
-            .until("the host has a host list", async || {
+            .wait_until("the host has a host list", async || {
                 fleet.state(0).await.is_ok_and(|state| !state.draining)
             })
             .await
--- a/cypressvane_ctl/tests/engines.rs
+++ b/cypressvane_ctl/tests/engines.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 use cypressvane::{digest, runtime};
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY};
 
@@ -46,12 +46,14 @@
             ..engine::Settings::default()
         };
         fleet.add_engine(MODEL, &settings).await?;
-        let request = Ask::new(KEY, MODEL, "a prompt");
+        let request = CompletionRequest::new(KEY, MODEL, "a prompt");
         let answered = async || {
-            let answer = ask(fleet.callers(0), &request).await;
+            let answer = complete(fleet.callers(0), &request).await;
             answer.is_ok_and(|answer| answer.whole)
         };
-        fleet.until("a completion is answered", answered).await?;
+        fleet
+            .wait_until("a completion is answered", answered)
+            .await?;
         let printed = engines(&fleet.operators(0).to_string());
         for expected in [
             MODEL,
--- a/cypressvane_standin/src/audit.rs
+++ b/cypressvane_standin/src/audit.rs
@@ -9,31 +9,31 @@
 use cypressvane::runtime::spawn;
 use smol::Task;
 
-use crate::caller::{Answer, Ask, ask};
+use crate::caller::{Answer, CompletionRequest, complete};
 use crate::fleet::Fleet;
 
 /// A request of a caller and its result.
 #[derive(Debug)]
-pub struct Told {
+pub struct Call {
     /// The request.
-    pub ask: Ask,
+    pub request: CompletionRequest,
     /// The answer; an error when the host could not be reached or sent no head of an answer.
     pub result: Result<Answer, client::Error>,
 }
 
 /// Sends a request in the background.
-pub fn send(address: SocketAddr, request: Ask) -> Task<Told> {
+pub fn send(address: SocketAddr, completion: CompletionRequest) -> Task<Call> {
     spawn(async move {
-        let result = ask(address, &request).await;
-        Told {
-            ask: request,
+        let result = complete(address, &completion).await;
+        Call {
+            request: completion,
             result,
         }
     })
 }
 
 /// Waits for the results of all requests.
-pub async fn gather(tasks: Vec<Task<Told>>) -> Vec<Told> {
+pub async fn join_all(tasks: Vec<Task<Call>>) -> Vec<Call> {
     let mut calls = Vec::new();
     for task in tasks {
         calls.push(task.await);
@@ -43,7 +43,7 @@
 
 /// How often each request id and each idempotency key reached an engine.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Arrivals {
     /// Counts by request id.
     pub ids: BTreeMap<String, u64>,
     /// Counts by idempotency key.
@@ -54,54 +54,54 @@
 ///
 /// # Errors
 /// When an engine does not answer.
-pub async fn seen(fleet: &Fleet, engines: &[usize]) -> io::Result<Seen> {
-    let mut seen = Seen::default();
+pub async fn count_arrivals(fleet: &Fleet, engines: &[usize]) -> io::Result<Arrivals> {
+    let mut arrivals = Arrivals::default();
     for engine in engines {
         let ledger = fleet.ledger(*engine).await?;
         for (id, count) in ledger.seen {
-            *seen.ids.entry(id).or_default() += count;
+            *arrivals.ids.entry(id).or_default() += count;
         }
         for (key, count) in ledger.keys {
-            *seen.keys.entry(key).or_default() += count;
+            *arrivals.keys.entry(key).or_default() += count;
         }
     }
-    Ok(seen)
+    Ok(arrivals)
 }
 
 /// Lists the violations: request ids or keys that reached engines more than once, errors that claim
 /// "not run" although the request reached an engine, and whole answers with the wrong text or to
 /// requests that reached no engine.
 #[must_use]
-pub fn violations(calls: &[Told], seen: &Seen) -> Vec<String> {
+pub fn violations(calls: &[Call], arrivals: &Arrivals) -> Vec<String> {
     let mut violations = Vec::new();
-    for (id, count) in seen.ids.iter().filter(|(_, count)| **count != 1) {
+    for (id, count) in arrivals.ids.iter().filter(|(_, count)| **count != 1) {
         violations.push(format!("request {id} reached engines {count} times"));
     }
-    for (key, count) in seen.keys.iter().filter(|(_, count)| **count != 1) {
+    for (key, count) in arrivals.keys.iter().filter(|(_, count)| **count != 1) {
         violations.push(format!("key {key} reached engines {count} times"));
     }
     for call in calls {
         let Ok(answer) = &call.result else { continue };
-        violations.extend(violation(call, answer, seen));
+        violations.extend(violation(call, answer, arrivals));
     }
     violations
 }
 
-fn violation(call: &Told, answer: &Answer, seen: &Seen) -> Option<String> {
+fn violation(call: &Call, answer: &Answer, arrivals: &Arrivals) -> Option<String> {
     if let Some(error) = &answer.error {
-        let contradicted = error.ran == Ran::No && seen.ids.contains_key(&error.request_id);
+        let contradicted = error.ran == Ran::No && arrivals.ids.contains_key(&error.request_id);
         return contradicted.then(|| format!("{error:?}, but the request reached an engine"));
     }
     if !answer.whole {
         return None;
     }
-    if answer.text != call.ask.expected() {
+    if answer.text != call.request.expected() {
         return Some(format!(
             "request {} got an answer with the wrong text",
             answer.request_id
         ));
     }
-    let reached = seen.ids.contains_key(&answer.request_id);
+    let reached = arrivals.ids.contains_key(&answer.request_id);
     (!reached).then(|| {
         format!(
             "request {} was answered but reached no engine",
@@ -112,14 +112,14 @@
 
 /// Number of whole answers.
 #[must_use]
-pub fn whole(calls: &[Told]) -> usize {
-    let is_whole = |call: &&Told| call.result.as_ref().is_ok_and(|answer| answer.whole);
+pub fn count_whole(calls: &[Call]) -> usize {
+    let is_whole = |call: &&Call| call.result.as_ref().is_ok_and(|answer| answer.whole);
     calls.iter().filter(is_whole).count()
 }
 
 /// Number of answers whose error states `ran`.
 #[must_use]
-pub fn ran(calls: &[Told], ran: Ran) -> usize {
+pub fn count_errors(calls: &[Call], ran: Ran) -> usize {
     let errors = calls
         .iter()
         .filter_map(|call| call.result.as_ref().ok()?.error.as_ref());
--- a/cypressvane_standin/src/bin/measure/run.rs
+++ b/cypressvane_standin/src/bin/measure/run.rs
@@ -9,7 +9,7 @@
 
 use cypressvane::clock::Instant;
 use cypressvane::runtime::{self, within};
-use cypressvane_standin::caller::{Answer, Ask, ask};
+use cypressvane_standin::caller::{Answer, CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 use smol::Timer;
@@ -147,7 +147,7 @@
             fleet.add_host("[logs]\nlevel = \"error\"\n").await?;
         }
         fleet.submit(0, &plan.shape.configuration()).await?;
-        fleet.linked().await?;
+        fleet.wait_until_linked().await?;
         let hosts = fleet.running().collect::<Vec<_>>();
         Target::Hosts(
             hosts
@@ -219,7 +219,7 @@
         running.push(runtime::spawn(async move {
             let left = (due + deadline).saturating_duration_since(Instant::now());
             let sent = Instant::now();
-            let answer = within(left, ask(address, &request)).await;
+            let answer = within(left, complete(address, &request)).await;
             // The callers of a killed host lose their answers; they are dropped here, since the
             // baselines have no host process to kill.
             let lost = arrival.host == 0 && dead.load(Ordering::Relaxed);
@@ -244,12 +244,12 @@
     slow
 }
 
-fn request(shape: &Shape, arrival: &Arrival) -> Ask {
+fn request(shape: &Shape, arrival: &Arrival) -> CompletionRequest {
     let tier = &shape.tiers[arrival.tier];
     let deadline = tier.deadline_ms.to_string();
-    Ask::new(&tier.name, MODEL, &arrival.prompt)
+    CompletionRequest::new(&tier.name, MODEL, &arrival.prompt)
         .streamed(arrival.answer_tokens)
-        .with("cypressvane-deadline-ms", &deadline)
+        .with_header("cypressvane-deadline-ms", &deadline)
 }
 
 /// Checks an answer against the limits of its tier.
--- a/cypressvane_standin/src/bin/path.rs
+++ b/cypressvane_standin/src/bin/path.rs
@@ -10,7 +10,7 @@
 
 use cypressvane::clock::Instant;
 use cypressvane::{digest, runtime};
-use cypressvane_standin::caller::{Answer, Ask, ask};
+use cypressvane_standin::caller::{Answer, CompletionRequest, complete};
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY};
 use cypressvane_standin::{engine, usage};
 
@@ -73,11 +73,11 @@
 async fn added_time(fleet: &Fleet, engine: usize) -> io::Result<()> {
     let direct = fleet.backends[engine].address("address");
     let through = fleet.callers(0);
-    let request = Ask::new(KEY, MODEL, "one two three").streamed(8);
+    let request = CompletionRequest::new(KEY, MODEL, "one two three").streamed(8);
     let mut times: [Vec<Answer>; 2] = [Vec::new(), Vec::new()];
     for pair in 0..PAIRS + WARM_UP {
         for (index, address) in [direct, through].into_iter().enumerate() {
-            let answer = ask_checked(address, &request).await?;
+            let answer = complete_checked(address, &request).await?;
             if pair >= WARM_UP {
                 times[index].push(answer);
             }
@@ -114,7 +114,7 @@
     let id = fleet.host(0).id();
     let before = usage::of(id)?;
     let begun = Instant::now();
-    let request = Ask::new(KEY, MODEL, "cost").streamed(STREAM_TOKENS);
+    let request = CompletionRequest::new(KEY, MODEL, "cost").streamed(STREAM_TOKENS);
     let address = fleet.callers(0);
     run_concurrently(address, &request, STREAMS).await?;
     let tokens = f64::from(STREAM_TOKENS) * u32::try_from(STREAMS).map_or(0.0, f64::from);
@@ -142,12 +142,12 @@
     fleet.set_engine(engine, &slow).await?;
     let id = fleet.host(0).id();
     let before = usage::of(id)?;
-    let request = Ask::new(KEY, MODEL, "open").streamed(8);
+    let request = CompletionRequest::new(KEY, MODEL, "open").streamed(8);
     let address = fleet.callers(0);
     let tasks =
         runtime::spawn(async move { run_concurrently(address, &request, OPEN_STREAMS).await });
     fleet
-        .until("all streams are open", async || {
+        .wait_until("all streams are open", async || {
             fleet
                 .dump(0)
                 .await
@@ -166,12 +166,16 @@
     tasks.await
 }
 
-async fn run_concurrently(address: SocketAddr, request: &Ask, count: usize) -> io::Result<()> {
+async fn run_concurrently(
+    address: SocketAddr,
+    request: &CompletionRequest,
+    count: usize,
+) -> io::Result<()> {
     let mut tasks = Vec::new();
     for _ in 0..count {
         let request = request.clone();
         tasks.push(runtime::spawn(async move {
-            ask_checked(address, &request).await
+            complete_checked(address, &request).await
         }));
     }
     for answer in tasks {
@@ -181,8 +185,8 @@
 }
 
 /// Sends a request and checks that the answer is complete and has the expected text.
-async fn ask_checked(address: SocketAddr, request: &Ask) -> io::Result<Answer> {
-    let answer = ask(address, request).await.map_err(io::Error::other)?;
+async fn complete_checked(address: SocketAddr, request: &CompletionRequest) -> io::Result<Answer> {
+    let answer = complete(address, request).await.map_err(io::Error::other)?;
     if !answer.whole || answer.text != request.expected() {
         return Err(io::Error::other(format!(
             "an answer is incomplete or has the wrong text: {:?}",
--- a/cypressvane_standin/src/bin/slopes/sizes.rs
+++ b/cypressvane_standin/src/bin/slopes/sizes.rs
@@ -9,7 +9,7 @@
 use cypressvane::platform::{Entry, Kind, Presence};
 use cypressvane::pool::{Action, End, Offer, Pool, Spec, Ticket};
 use cypressvane::{digest, runtime};
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY, REGION};
 use smol::Timer;
@@ -107,7 +107,7 @@
     for size in sizes {
         let fleet = fleet_of(*size).await?;
         fleet.submit(0, &configuration(5, 1_000)).await?;
-        fleet.linked().await?;
+        fleet.wait_until_linked().await?;
         Timer::after(SETTLE).await;
         let used = measure(&fleet, IDLE).await?;
         costs.add(to_f64(*size), &used);
@@ -143,7 +143,7 @@
         fleet.add_engine(MODEL, &settings).await?;
     }
     fleet.submit(0, &configuration(5, 1_000_000)).await?;
-    fleet.linked().await?;
+    fleet.wait_until_linked().await?;
     for at_one in [0].iter().chain(rates) {
         let addresses: Vec<SocketAddr> = (0..hosts).map(|index| fleet.callers(index)).collect();
         let all = at_one * u32::try_from(hosts).unwrap_or(1);
@@ -166,8 +166,10 @@
     let mut sent = 0_u32;
     while rate > 0 && begun.elapsed() < time {
         let address = addresses[sent as usize % addresses.len()];
-        let request = Ask::new(KEY, MODEL, "a request of a few words").streamed(8);
-        tasks.push(runtime::spawn(async move { ask(address, &request).await }));
+        let request = CompletionRequest::new(KEY, MODEL, "a request of a few words").streamed(8);
+        tasks.push(runtime::spawn(
+            async move { complete(address, &request).await },
+        ));
         sent += 1;
         let due = Duration::from_secs(1) * sent / rate;
         Timer::after(due.saturating_sub(begun.elapsed())).await;
--- a/cypressvane_standin/src/bin/soak/faults.rs
+++ b/cypressvane_standin/src/bin/soak/faults.rs
@@ -10,7 +10,7 @@
 use cypressvane::runtime;
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY};
 use cypressvane_standin::platform;
-use cypressvane_standin::proxy::{self, Fault, Way};
+use cypressvane_standin::proxy::{self, Fault, Transfer};
 use fastrand::Rng;
 use http_types::Method;
 use http_types::headers::AUTHORIZATION;
@@ -92,7 +92,7 @@
             2 => Self::restart(fleet, host).await?,
             3 => {
                 let fault = Fault {
-                    back: Way::CutAfter(bytes),
+                    to_client: Transfer::CutAfter(bytes),
                     ..Fault::default()
                 };
                 self.inject_proxy_fault(engine, fault, duration, "answers cut")
@@ -100,7 +100,7 @@
             }
             4 => {
                 let fault = Fault {
-                    forth: Way::CutAfter(bytes),
+                    to_target: Transfer::CutAfter(bytes),
                     ..Fault::default()
                 };
                 self.inject_proxy_fault(engine, fault, duration, "requests cut")
@@ -108,7 +108,7 @@
             }
             5 => {
                 let fault = Fault {
-                    back: Way::Freeze,
+                    to_client: Transfer::Freeze,
                     ..Fault::default()
                 };
                 self.inject_proxy_fault(engine, fault, duration, "engine frozen")
@@ -116,9 +116,9 @@
             }
             6 => {
                 let table = if rng.bool() {
-                    platform::Trouble::Fails
+                    platform::Outage::Fails
                 } else {
-                    platform::Trouble::Hangs
+                    platform::Outage::Hangs
                 };
                 let fault = platform::Fault {
                     table,
@@ -180,9 +180,9 @@
         duration: Duration,
         kind: &'static str,
     ) -> &'static str {
-        self.proxies[engine].set(fault);
+        self.proxies[engine].set_fault(fault);
         Timer::after(duration).await;
-        self.proxies[engine].set(Fault::default());
+        self.proxies[engine].set_fault(Fault::default());
         kind
     }
 
@@ -235,7 +235,7 @@
     /// Ends all faults.
     pub async fn clear(&mut self, fleet: &mut Fleet) -> io::Result<()> {
         for proxy in &self.proxies {
-            proxy.set(Fault::default());
+            proxy.set_fault(Fault::default());
         }
         fleet.set_fault(&platform::Fault::default()).await
     }
--- a/cypressvane_standin/src/bin/soak/main.rs
+++ b/cypressvane_standin/src/bin/soak/main.rs
@@ -14,8 +14,10 @@
 
 use cypressvane::clock::Instant;
 use cypressvane::runtime;
-use cypressvane_standin::audit::{Told, gather, ran, seen, send, violations, whole};
-use cypressvane_standin::caller::Ask;
+use cypressvane_standin::audit::{
+    Call, count_arrivals, count_errors, count_whole, join_all, send, violations,
+};
+use cypressvane_standin::caller::CompletionRequest;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 use fastrand::Rng;
@@ -110,7 +112,7 @@
         fleet.add_host(SETTINGS).await?;
     }
     fleet.submit(0, &configuration(0)).await?;
-    fleet.linked().await?;
+    fleet.wait_until_linked().await?;
     let addresses: Addresses = Arc::default();
     let stop = Arc::new(AtomicBool::new(false));
     let load = runtime::spawn(load(Arc::clone(&addresses), Arc::clone(&stop), rng.fork()));
@@ -123,8 +125,8 @@
     stop.store(true, Ordering::Relaxed);
     faults.clear(&mut fleet).await?;
     let calls = load.await;
-    fleet.in_force(faults.accepted()).await?;
-    let mut found = violations(&calls, &seen(&fleet, &engines).await?);
+    fleet.wait_in_force(faults.accepted()).await?;
+    let mut found = violations(&calls, &count_arrivals(&fleet, &engines).await?);
     found.extend(faults.violations(&fleet).await?);
     let no = cypressvane::refusal::Ran::No;
     let unknown = cypressvane::refusal::Ran::Unknown;
@@ -132,9 +134,9 @@
         "{} requests: {} whole, {} refused as not run, {} unknown, {} without a host; {} faults: \
          {:?}; {} versions accepted; violations: {}",
         calls.len(),
-        whole(&calls),
-        ran(&calls, no),
-        ran(&calls, unknown),
+        count_whole(&calls),
+        count_errors(&calls, no),
+        count_errors(&calls, unknown),
         calls.iter().filter(|call| call.result.is_err()).count(),
         faults.count(),
         faults.kinds(),
@@ -148,7 +150,7 @@
 }
 
 /// Sends requests until `stop` is set; one with an idempotency key is retried when it fails.
-async fn load(addresses: Addresses, stop: Arc<AtomicBool>, mut rng: Rng) -> Vec<Told> {
+async fn load(addresses: Addresses, stop: Arc<AtomicBool>, mut rng: Rng) -> Vec<Call> {
     let mut running = Vec::new();
     for number in 0_u64.. {
         if stop.load(Ordering::Relaxed) {
@@ -156,26 +158,26 @@
         }
         Timer::after(REQUEST_INTERVAL).await;
         let tier = TIERS[rng.usize(0..TIERS.len())];
-        let ask = Ask::new(
+        let request = CompletionRequest::new(
             tier,
             MODEL,
             &format!("{} number-{number}", "word ".repeat(rng.usize(0..200))),
         );
-        let ask = if rng.bool() {
-            ask.streamed(rng.u32(1..60))
+        let request = if rng.bool() {
+            request.streamed(rng.u32(1..60))
         } else {
-            ask
+            request
         };
         let keyed = rng.u8(0..5) == 0;
-        let ask = if keyed {
-            ask.with("idempotency-key", &format!("key-{number}"))
+        let request = if keyed {
+            request.with_header("idempotency-key", &format!("key-{number}"))
         } else {
-            ask
+            request
         };
         let retries = if keyed { RETRIES } else { 0 };
         running.push(runtime::spawn(send_with_retries(
             Arc::clone(&addresses),
-            ask,
+            request,
             retries,
             rng.fork(),
         )));
@@ -190,10 +192,10 @@
 /// Sends a request to a random host, and retries it up to `retries` times until its answer is whole.
 async fn send_with_retries(
     addresses: Addresses,
-    ask: Ask,
+    request: CompletionRequest,
     retries: usize,
     mut rng: Rng,
-) -> Vec<Told> {
+) -> Vec<Call> {
     let mut all = Vec::new();
     for _ in 0..=retries {
         let addresses = addresses
@@ -203,8 +205,8 @@
         let Some(address) = rng.choice(addresses) else {
             break;
         };
-        let calls = gather(vec![send(address, ask.clone())]).await;
-        let done = whole(&calls) == 1;
+        let calls = join_all(vec![send(address, request.clone())]).await;
+        let done = count_whole(&calls) == 1;
         all.extend(calls);
         if done {
             break;
--- a/cypressvane_standin/src/caller.rs
+++ b/cypressvane_standin/src/caller.rs
@@ -22,7 +22,7 @@
 
 /// A request for a completion.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct CompletionRequest {
     /// The bearer key.
     pub key: String,
     /// The model.
@@ -37,7 +37,7 @@
     pub headers: Vec<(String, String)>,
 }
 
-impl Ask {
+impl CompletionRequest {
     /// Creates a request for an answer of 4 tokens that is not streamed.
     #[must_use]
     pub fn new(key: &str, model: &str, prompt: &str) -> Self {
@@ -61,7 +61,7 @@
 
     /// Adds a header.
     #[must_use]
-    pub fn with(mut self, name: &str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
@@ -102,18 +102,21 @@
 ///
 /// # Errors
 /// When there is no connection, or it breaks or `TIMEOUT` passes before the head of the answer.
-pub async fn ask(address: SocketAddr, ask: &Ask) -> Result<Answer, Error> {
+pub async fn complete(
+    address: SocketAddr,
+    completion: &CompletionRequest,
+) -> Result<Answer, Error> {
     let begun = Instant::now();
     let mut request = client::request(Method::Post, address, "/v1/completions");
-    request.insert_header(AUTHORIZATION, format!("Bearer {}", ask.key));
-    for (name, value) in &ask.headers {
+    request.insert_header(AUTHORIZATION, format!("Bearer {}", completion.key));
+    for (name, value) in &completion.headers {
         request.insert_header(name.as_str(), value.as_str());
     }
     let body = json!({
-        "model": ask.model,
-        "prompt": ask.prompt,
-        "max_tokens": ask.max_tokens,
-        "stream": ask.stream,
+        "model": completion.model,
+        "prompt": completion.prompt,
+        "max_tokens": completion.max_tokens,
+        "stream": completion.stream,
     });
     request.set_body(body.to_string());
     request.insert_header(CONTENT_TYPE, "application/json");
@@ -141,7 +144,7 @@
     };
     answer.total = begun.elapsed();
     let text = String::from_utf8_lossy(&body);
-    if ask.stream && answer.status == 200 {
+    if completion.stream && answer.status == 200 {
         answer.read_events(&text);
     } else {
         answer.read_whole(&text, ended);
--- a/cypressvane_standin/src/engine/mod.rs
+++ b/cypressvane_standin/src/engine/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Replaces the settings.
-    pub fn set(&self, settings: Settings) {
+    pub fn set_settings(&self, settings: Settings) {
         self.engine.state().settings = settings;
     }
 }
--- a/cypressvane_standin/src/fleet.rs
+++ b/cypressvane_standin/src/fleet.rs
@@ -281,7 +281,7 @@
         request.set_body(configuration.to_owned());
         let record: cypressvane::manifest::Record =
             send(self.operators(index), authorized(request)).await?;
-        self.in_force(record.version).await?;
+        self.wait_in_force(record.version).await?;
         Ok(record.version)
     }
 
@@ -289,9 +289,9 @@
     ///
     /// # Errors
     /// When that takes longer than `TIMEOUT`.
-    pub async fn in_force(&self, version: u64) -> io::Result<()> {
+    pub async fn wait_in_force(&self, version: u64) -> io::Result<()> {
         for index in self.running() {
-            self.until("the version is in force", async || {
+            self.wait_until("the version is in force", async || {
                 let state = self.state(index).await;
                 state.is_ok_and(|state| state.ready && state.version >= version)
             })
@@ -304,10 +304,10 @@
     ///
     /// # Errors
     /// When that takes longer than `TIMEOUT`.
-    pub async fn linked(&self) -> io::Result<()> {
+    pub async fn wait_until_linked(&self) -> io::Result<()> {
         let others = self.running().count() - 1;
         for index in self.running() {
-            self.until("the hosts see each other", async || {
+            self.wait_until("the hosts see each other", async || {
                 let dump = self.dump(index).await;
                 let live = |dump: Dump| {
                     dump.peers
@@ -326,7 +326,11 @@
     ///
     /// # Errors
     /// When the condition is not met within `TIMEOUT`.
-    pub async fn until(&self, what: &str, condition: impl AsyncFn() -> bool) -> io::Result<()> {
+    pub async fn wait_until(
+        &self,
+        what: &str,
+        condition: impl AsyncFn() -> bool,
+    ) -> io::Result<()> {
         let end = Instant::now() + TIMEOUT;
         while !condition().await {
             if Instant::now() > end {
--- a/cypressvane_standin/src/platform.rs
+++ b/cypressvane_standin/src/platform.rs
@@ -16,13 +16,13 @@
 
 use crate::answer;
 
-/// How long a call hangs under [`Trouble::Hangs`].
+/// How long a call hangs under [`Outage::Hangs`].
 const HANG_TIME: Duration = Duration::from_secs(3600);
 
 /// The outage of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Trouble {
+pub enum Outage {
     /// The service answers.
     #[default]
     None,
@@ -37,9 +37,9 @@
 #[serde(default)]
 pub struct Fault {
     /// Outage of the table service.
-    pub table: Trouble,
+    pub table: Outage,
     /// Outage of the host list.
-    pub hosts: Trouble,
+    pub hosts: Outage,
     /// Delay added to each call, in milliseconds.
     pub delay_ms: u64,
     /// Number of writes that take effect but are answered with 503.
@@ -166,7 +166,7 @@
     fn get(&self, key: &str) -> Response {
         let mut state = self.state();
         state.stats.reads += 1;
-        if state.fault.table == Trouble::Fails {
+        if state.fault.table == Outage::Fails {
             return answer::empty(StatusCode::ServiceUnavailable);
         }
         let copy = state.copy.as_ref().filter(|_| state.fault.stale_reads);
@@ -181,7 +181,7 @@
     fn put(&self, key: &str, put: Put) -> Response {
         let mut state = self.state();
         state.stats.writes += 1;
-        if state.fault.table == Trouble::Fails {
+        if state.fault.table == Outage::Fails {
             return answer::empty(StatusCode::ServiceUnavailable);
         }
         let revision = state.rows.get(key).map(|row| row.revision);
@@ -209,7 +209,7 @@
     fn list(&self, region: Option<&str>, known: Option<&str>) -> Response {
         let mut state = self.state();
         state.stats.lists += 1;
-        if state.fault.hosts == Trouble::Fails {
+        if state.fault.hosts == Outage::Fails {
             return answer::empty(StatusCode::ServiceUnavailable);
         }
         let tag = format!("\"{}\"", state.hosts_etag);
@@ -235,12 +235,12 @@
         let fault = self.state().fault.clone();
         Timer::after(Duration::from_millis(fault.delay_ms)).await;
         let key = path.strip_prefix("/table/");
-        let trouble = match (method, key, path.as_str()) {
+        let outage = match (method, key, path.as_str()) {
             (_, Some(_), _) => fault.table,
             (Method::Get, None, "/hosts") => fault.hosts,
-            _ => Trouble::None,
+            _ => Outage::None,
         };
-        if trouble == Trouble::Hangs {
+        if outage == Outage::Hangs {
             Timer::after(HANG_TIME).await;
         }
         match (method, key, path.as_str()) {
--- a/cypressvane_standin/src/process.rs
+++ b/cypressvane_standin/src/process.rs
@@ -124,7 +124,7 @@
     }
 
     /// Sends SIGHUP, on which a host reads its settings again.
-    pub fn hang_up(&self) {
+    pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
--- a/cypressvane_standin/src/proxy.rs
+++ b/cypressvane_standin/src/proxy.rs
@@ -19,7 +19,7 @@
 
 /// How the proxy treats the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum Transfer {
     /// Forwards them unchanged.
     #[default]
     Pass,
@@ -39,9 +39,9 @@
     /// Closes new connections immediately.
     pub refuse: bool,
     /// Treatment of the bytes from the client to the target.
-    pub forth: Way,
+    pub to_target: Transfer,
     /// Treatment of the bytes from the target to the client.
-    pub back: Way,
+    pub to_client: Transfer,
 }
 
 #[derive(Debug)]
@@ -103,12 +103,12 @@
     }
 
     /// Sets the fault for new and for open connections.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         *lock(&self.shared.fault) = fault;
     }
 
     /// Stops forwarding on the open connections for good, without a reset; new connections work.
-    pub fn silence(&self) {
+    pub fn silence_open_connections(&self) {
         let made = self.connections();
         self.shared.silenced_up_to.store(made, Ordering::Relaxed);
     }
@@ -121,15 +121,18 @@
 
     /// Number of open connections.
     #[must_use]
-    pub fn open(&self) -> u64 {
+    pub fn open_connections(&self) -> u64 {
         self.shared.open.load(Ordering::Relaxed)
     }
 
     /// Bytes forwarded to the target and to the clients so far.
     #[must_use]
     pub fn bytes(&self) -> (u64, u64) {
-        let forth = self.shared.bytes_to_target.load(Ordering::Relaxed);
-        (forth, self.shared.bytes_to_client.load(Ordering::Relaxed))
+        let to_target = self.shared.bytes_to_target.load(Ordering::Relaxed);
+        (
+            to_target,
+            self.shared.bytes_to_client.load(Ordering::Relaxed),
+        )
     }
 }
 
@@ -170,23 +173,23 @@
     let server = TcpStream::connect(target).await?;
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
-    let forth = copy(
+    let to_target = copy(
         client.clone(),
         server.clone(),
         connection,
         shared,
-        |fault| fault.forth,
+        |fault| fault.to_target,
         &shared.bytes_to_target,
     );
-    let back = copy(
+    let to_client = copy(
         server,
         client,
         connection,
         shared,
-        |fault| fault.back,
+        |fault| fault.to_client,
         &shared.bytes_to_client,
     );
-    forth.or(back).await
+    to_target.or(to_client).await
 }
 
 /// Makes the close of a connection send a reset instead of a FIN.
@@ -201,7 +204,7 @@
     mut to: TcpStream,
     connection: u64,
     shared: &Shared,
-    behaviour: fn(Fault) -> Way,
+    transfer: fn(Fault) -> Transfer,
     total: &AtomicU64,
 ) -> io::Result<()> {
     let mut buffer = vec![0; BUFFER_BYTES];
@@ -211,17 +214,17 @@
         if count == 0 {
             return Ok(());
         }
-        while behaviour(shared.fault()) == Way::Freeze || shared.is_silent(connection) {
+        while transfer(shared.fault()) == Transfer::Freeze || shared.is_silent(connection) {
             Timer::after(FREEZE_POLL).await;
         }
-        let limit = match behaviour(shared.fault()) {
-            Way::CutAfter(limit) => Some(limit),
-            Way::Pass | Way::Freeze => None,
-            Way::Delay(time) => {
+        let limit = match transfer(shared.fault()) {
+            Transfer::CutAfter(limit) => Some(limit),
+            Transfer::Pass | Transfer::Freeze => None,
+            Transfer::Delay(time) => {
                 Timer::after(time).await;
                 None
             }
-            Way::Reset => {
+            Transfer::Reset => {
                 reset_on_close(&from)?;
                 reset_on_close(&to)?;
                 return Ok(());
--- a/cypressvane_standin/src/usage.rs
+++ b/cypressvane_standin/src/usage.rs
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// When the process is gone or its `/proc` files are unreadable.
-pub fn written(id: u32) -> io::Result<u64> {
+pub fn written_bytes(id: u32) -> io::Result<u64> {
     let text = fs::read_to_string(format!("/proc/{id}/io"))?;
     let unreadable = || io::Error::new(io::ErrorKind::InvalidData, "an unreadable /proc file");
     let line = text.lines().find_map(|line| line.strip_prefix("wchar:"));
--- a/cypressvane_standin/tests/engine.rs
+++ b/cypressvane_standin/tests/engine.rs
@@ -4,12 +4,12 @@
 use std::sync::Once;
 
 use cypressvane::runtime;
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine::{self, Settings};
 
 struct Case {
     name: &'static str,
-    ask: Ask,
+    request: CompletionRequest,
     settings: Settings,
     whole: bool,
 }
@@ -21,19 +21,19 @@
     let cases = [
         Case {
             name: "whole",
-            ask: Ask::new("", "echo", "one two"),
+            request: CompletionRequest::new("", "echo", "one two"),
             settings: Settings::default(),
             whole: true,
         },
         Case {
             name: "streamed",
-            ask: Ask::new("", "echo", "one two").streamed(9),
+            request: CompletionRequest::new("", "echo", "one two").streamed(9),
             settings: Settings::default(),
             whole: true,
         },
         Case {
             name: "cut",
-            ask: Ask::new("", "echo", "one two").streamed(9),
+            request: CompletionRequest::new("", "echo", "one two").streamed(9),
             settings: Settings {
                 cut_after: Some(3),
                 ..Settings::default()
@@ -45,13 +45,13 @@
         for case in cases {
             let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
             let engine = engine::bind(address, "echo", case.settings).expect("a free port");
-            let ask_with_id = case.ask.clone().with("x-request-id", "some-id");
-            let answer = ask(engine.address(), &ask_with_id)
+            let request_with_id = case.request.clone().with_header("x-request-id", "some-id");
+            let answer = complete(engine.address(), &request_with_id)
                 .await
                 .expect("an answer");
             assert_eq!(answer.whole, case.whole, "{}", case.name);
             assert_eq!(
-                answer.text == case.ask.expected(),
+                answer.text == case.request.expected(),
                 case.whole,
                 "{}",
                 case.name
--- a/cypressvaned/tests/bad_input.rs
+++ b/cypressvaned/tests/bad_input.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cypressvane::refusal::{Body, Code, Ran};
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 
@@ -270,8 +270,8 @@
             }
         }
         assert!(fleet.ledger(engine).await?.seen.is_empty());
-        let last = Ask::new(common::URGENT_KEY, "register-model", "still there");
-        let answer = ask(address, &last).await.map_err(io::Error::other)?;
+        let last = CompletionRequest::new(common::URGENT_KEY, "register-model", "still there");
+        let answer = complete(address, &last).await.map_err(io::Error::other)?;
         assert_eq!(answer.text, last.expected());
         Ok(())
     });
--- a/cypressvaned/tests/engine_orders.rs
+++ b/cypressvaned/tests/engine_orders.rs
@@ -10,7 +10,7 @@
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY, get};
 use cypressvane_standin::platform;
-use cypressvane_standin::proxy::{self, Fault, Way};
+use cypressvane_standin::proxy::{self, Fault, Transfer};
 use http_types::Method;
 use http_types::headers::AUTHORIZATION;
 use smol::Timer;
@@ -143,20 +143,20 @@
                 ..Default::default()
             };
             fleet.set_fault(&lost).await?;
-            proxy.set(Fault {
-                back: Way::CutAfter(0),
+            proxy.set_fault(Fault {
+                to_client: Transfer::CutAfter(0),
                 ..Fault::default()
             });
             let ordered = spawn(submit_order(fleet.operators(0), role("decode")));
             fleet
-                .until("the order arrives", async || {
+                .wait_until("the order arrives", async || {
                     fleet
                         .ledger(0)
                         .await
                         .is_ok_and(|ledger| !ledger.orders.is_empty())
                 })
                 .await?;
-            proxy.set(Fault::default());
+            proxy.set_fault(Fault::default());
             let (status, body) = ordered.await?;
             assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
             assert_eq!(
@@ -174,14 +174,14 @@
     common::run(async {
         for fencing in [true, false] {
             let (fleet, proxy) = start_fleet(fencing).await?;
-            proxy.set(Fault {
-                forth: Way::Freeze,
+            proxy.set_fault(Fault {
+                to_target: Transfer::Freeze,
                 ..Fault::default()
             });
             let before = proxy.connections();
             let late = spawn(submit_order(fleet.operators(0), role("prefill")));
             fleet
-                .until("the order is in flight", async || {
+                .wait_until("the order is in flight", async || {
                     proxy.connections() > before
                 })
                 .await?;
@@ -204,7 +204,7 @@
             while proxy.connections() < before + 2 && begun.elapsed() < Duration::from_secs(60) {
                 Timer::after(Duration::from_millis(20)).await;
             }
-            proxy.set(Fault::default());
+            proxy.set_fault(Fault::default());
             let (fleet, status, body) = newer.await?;
             assert_eq!(
                 status,
--- a/cypressvaned/tests/hangup.rs
+++ b/cypressvaned/tests/hangup.rs
@@ -2,7 +2,7 @@
 
 use cypressvane::client;
 use cypressvane::runtime::spawn;
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 
@@ -56,8 +56,9 @@
                 )
                 .await?;
             let address = fleet.callers(0);
-            let long = Ask::new(common::URGENT_KEY, "register-model", "long").streamed(150);
-            let first = spawn(async move { ask(address, &long).await });
+            let long =
+                CompletionRequest::new(common::URGENT_KEY, "register-model", "long").streamed(150);
+            let first = spawn(async move { complete(address, &long).await });
             let reached = async |count: usize| {
                 fleet
                     .ledger(engine)
@@ -65,25 +66,28 @@
                     .is_ok_and(|ledger| ledger.seen.len() == count)
             };
             fleet
-                .until("the first runs", async || reached(1).await)
+                .wait_until("the first runs", async || reached(1).await)
                 .await?;
-            let mut gone = Ask::new(common::URGENT_KEY, "register-model", "gone").streamed(150);
+            let mut gone =
+                CompletionRequest::new(common::URGENT_KEY, "register-model", "gone").streamed(150);
             gone.stream = case.stream;
-            let second = spawn(async move { ask(address, &gone).await });
+            let second = spawn(async move { complete(address, &gone).await });
             let held = async |count| fleet.dump(0).await.is_ok_and(|dump| dump.held == count);
-            fleet.until("both are held", async || held(2).await).await?;
+            fleet
+                .wait_until("both are held", async || held(2).await)
+                .await?;
             if case.running {
                 fleet
-                    .until("the second runs", async || reached(2).await)
+                    .wait_until("the second runs", async || reached(2).await)
                     .await?;
             }
             second.cancel().await;
             fleet
-                .until("the second is released", async || held(1).await)
+                .wait_until("the second is released", async || held(1).await)
                 .await?;
             if case.running {
                 fleet
-                    .until("the engine has cancelled it", async || {
+                    .wait_until("the engine has cancelled it", async || {
                         fleet
                             .ledger(engine)
                             .await
--- a/cypressvaned/tests/leaving.rs
+++ b/cypressvaned/tests/leaving.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cypressvane::runtime::spawn;
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::{Fleet, host_name};
 
@@ -71,13 +71,14 @@
     let mut running = Vec::new();
     for index in 0..REQUESTS {
         let prompt = format!("request number-{index}");
-        let request = Ask::new(common::PATIENT_KEY, "register-model", &prompt).streamed(60);
-        running.push(spawn(
-            async move { (ask(address, &request).await, request) },
-        ));
+        let request =
+            CompletionRequest::new(common::PATIENT_KEY, "register-model", &prompt).streamed(60);
+        running.push(spawn(async move {
+            (complete(address, &request).await, request)
+        }));
     }
     fleet
-        .until("all requests are held", async || {
+        .wait_until("all requests are held", async || {
             fleet
                 .dump(0)
                 .await
--- a/cypressvaned/tests/promises/configuration.rs
+++ b/cypressvaned/tests/promises/configuration.rs
@@ -8,7 +8,7 @@
 use cypressvane::manifest::Record;
 use cypressvane::runtime::spawn;
 use cypressvane_standin::fleet::{Fleet, OPERATOR_KEY};
-use cypressvane_standin::platform::{Fault, Trouble};
+use cypressvane_standin::platform::{Fault, Outage};
 use cypressvane_standin::proxy;
 use http_types::Method;
 use http_types::headers::AUTHORIZATION;
@@ -45,7 +45,7 @@
         fleet.add_host("").await?;
     }
     fleet.submit(0, &numbered(0)).await?;
-    fleet.linked().await?;
+    fleet.wait_until_linked().await?;
     Ok(fleet)
 }
 
@@ -91,7 +91,7 @@
             let last = *versions.last().expect("a submission is accepted");
             let expected: Vec<u64> = (before + 1..=last).collect();
             assert_eq!(versions, expected, "{name}: one winner per version");
-            fleet.in_force(last).await?;
+            fleet.wait_in_force(last).await?;
             let manifest = &accepted.last().expect("a submission is accepted").manifest;
             for index in 0..HOSTS {
                 assert_eq!(digest(&fleet, index).await?, *manifest, "{name}");
@@ -104,29 +104,29 @@
 #[test]
 fn a_table_outage_right_after_acceptance_does_not_revert_the_configuration() {
     common::run(async {
-        for trouble in [Trouble::Fails, Trouble::Hangs] {
+        for outage in [Outage::Fails, Outage::Hangs] {
             let mut fleet = start_fleet().await?;
             let (status, _) = submit(fleet.operators(0), numbered(7)).await?;
             assert_eq!(status, 200);
             fleet
                 .set_fault(&Fault {
-                    table: trouble,
+                    table: outage,
                     ..Fault::default()
                 })
                 .await?;
-            fleet.in_force(2).await?;
+            fleet.wait_in_force(2).await?;
             // A host that starts during the outage fetches the configuration from its peers.
             let index = fleet.add_host("").await?;
-            fleet.in_force(2).await?;
+            fleet.wait_in_force(2).await?;
             assert_eq!(
                 digest(&fleet, index).await?,
                 digest(&fleet, 0).await?,
-                "{trouble:?}"
+                "{outage:?}"
             );
             let (status, _) = submit(fleet.operators(1), numbered(8)).await?;
             assert_eq!(
                 status, 503,
-                "{trouble:?}: nothing is accepted without the table"
+                "{outage:?}: nothing is accepted without the table"
             );
         }
         Ok(())
@@ -164,7 +164,7 @@
             }
             Timer::after(Duration::from_millis(50)).await;
         }
-        fleet.in_force(3).await?;
+        fleet.wait_in_force(3).await?;
         fleet.set_fault(&Fault::default()).await?;
         fleet.submit(0, &numbered(4)).await?;
         Ok(())
@@ -182,8 +182,8 @@
         fleet.platform_address = proxy.address();
         let cut = fleet.add_host("").await?;
         fleet.submit(0, &numbered(0)).await?;
-        fleet.linked().await?;
-        proxy.set(proxy::Fault {
+        fleet.wait_until_linked().await?;
+        proxy.set_fault(proxy::Fault {
             refuse: true,
             ..Default::default()
         });
@@ -193,13 +193,13 @@
             assert_eq!(status, 200);
         }
         fleet
-            .until(
+            .wait_until(
                 "the host without the table fetches from its peer",
                 async || fleet.state(cut).await.is_ok_and(|state| state.version == 4),
             )
             .await?;
         fleet.host(1).resume();
-        fleet.in_force(4).await
+        fleet.wait_in_force(4).await
     });
 }
 
@@ -223,7 +223,7 @@
         // name; for this host it is long.
         fleet.hosts.resize_with(4, || None);
         let started = fleet.add_host("").await?;
-        fleet.in_force(1).await?;
+        fleet.wait_in_force(1).await?;
         assert_eq!(digest(&fleet, started).await?, digest(&fleet, 0).await?);
         let reads = fleet.stats().await?.reads - before;
         assert!(
--- a/cypressvaned/tests/promises/dispatch.rs
+++ b/cypressvaned/tests/promises/dispatch.rs
@@ -4,13 +4,13 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use cypressvane_standin::caller::Ask;
+use cypressvane_standin::caller::CompletionRequest;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
-use cypressvane_standin::proxy::{self, Fault, Way};
+use cypressvane_standin::proxy::{self, Fault, Transfer};
 
 use crate::common;
-use crate::evidence::{check, gather, ran, seen, send, whole};
+use crate::ledgers::{check, count_arrivals, count_errors, count_whole, join_all, send};
 use cypressvane::refusal::Ran;
 
 /// A short silence timeout keeps the test short.
@@ -29,14 +29,14 @@
 
 fn cut_request(bytes: u64) -> Fault {
     Fault {
-        forth: Way::CutAfter(bytes),
+        to_target: Transfer::CutAfter(bytes),
         ..Fault::default()
     }
 }
 
 fn cut_answer(bytes: u64) -> Fault {
     Fault {
-        back: Way::CutAfter(bytes),
+        to_client: Transfer::CutAfter(bytes),
         ..Fault::default()
     }
 }
@@ -74,7 +74,7 @@
         case(
             "request frozen",
             Fault {
-                forth: Way::Freeze,
+                to_target: Transfer::Freeze,
                 ..Fault::default()
             },
             false,
@@ -82,7 +82,7 @@
         case(
             "answer frozen",
             Fault {
-                back: Way::Freeze,
+                to_client: Transfer::Freeze,
                 ..Fault::default()
             },
             true,
@@ -118,27 +118,31 @@
     fleet.add_host(SETTINGS).await?;
     fleet.submit(0, common::CONFIGURATION).await?;
     for proxy in &proxies {
-        proxy.set(case.fault);
+        proxy.set_fault(case.fault);
     }
     let mut tasks = Vec::new();
     for index in 0..REQUESTS {
         let prompt = format!("question number-{index}");
-        let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt)
-            .with("cypressvane-deadline-ms", "4000");
-        let ask = if case.stream { ask.streamed(12) } else { ask };
-        tasks.push(send(fleet.callers(0), ask));
+        let request = CompletionRequest::new(common::URGENT_KEY, "register-model", &prompt)
+            .with_header("cypressvane-deadline-ms", "4000");
+        let request = if case.stream {
+            request.streamed(12)
+        } else {
+            request
+        };
+        tasks.push(send(fleet.callers(0), request));
     }
-    let outcomes = gather(tasks).await;
+    let outcomes = join_all(tasks).await;
     // Frozen bytes are delivered now, so that the ledgers are complete.
     for proxy in &proxies {
-        proxy.set(Fault::default());
+        proxy.set_fault(Fault::default());
     }
     smol::Timer::after(Duration::from_millis(200)).await;
-    check(name, &outcomes, &seen(&fleet, &engines).await?);
-    assert_eq!(whole(&outcomes) == REQUESTS, case.answers, "{name}");
+    check(name, &outcomes, &count_arrivals(&fleet, &engines).await?);
+    assert_eq!(count_whole(&outcomes) == REQUESTS, case.answers, "{name}");
     if !case.answers {
         assert!(
-            ran(&outcomes, Ran::Unknown) > 0,
+            count_errors(&outcomes, Ran::Unknown) > 0,
             "{name}: some errors report an unknown outcome"
         );
     }
@@ -173,16 +177,16 @@
         let mut tasks = Vec::new();
         for index in 0..REQUESTS {
             let prompt = format!("question number-{index}");
-            let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
-            tasks.push(send(fleet.callers(0), ask));
+            let request = CompletionRequest::new(common::URGENT_KEY, "register-model", &prompt);
+            tasks.push(send(fleet.callers(0), request));
         }
-        let outcomes = gather(tasks).await;
+        let outcomes = join_all(tasks).await;
         check(
             "an engine is gone",
             &outcomes,
-            &seen(&fleet, &[engine]).await?,
+            &count_arrivals(&fleet, &[engine]).await?,
         );
-        assert_eq!(whole(&outcomes), REQUESTS);
+        assert_eq!(count_whole(&outcomes), REQUESTS);
         Ok(())
     });
 }
@@ -202,12 +206,13 @@
         }
         let configuration = common::CONFIGURATION.replace("\"model\"", "\"model\"\nslots = 4");
         fleet.submit(0, &configuration).await?;
-        fleet.linked().await?;
+        fleet.wait_until_linked().await?;
         let mut tasks = Vec::new();
         for index in 0..30 {
             let prompt = format!("question number-{index}");
-            let ask = Ask::new(common::PATIENT_KEY, "register-model", &prompt).streamed(8);
-            tasks.push(send(fleet.callers(index % 3), ask));
+            let request =
+                CompletionRequest::new(common::PATIENT_KEY, "register-model", &prompt).streamed(8);
+            tasks.push(send(fleet.callers(index % 3), request));
         }
         // Each host in turn is frozen for longer than the others wait before they continue without it.
         for index in 0..3 {
@@ -215,9 +220,13 @@
             smol::Timer::after(Duration::from_millis(2500)).await;
             fleet.host(index).resume();
         }
-        let outcomes = gather(tasks).await;
-        check("frozen hosts", &outcomes, &seen(&fleet, &[engine]).await?);
-        assert_eq!(whole(&outcomes), 30, "a frozen host loses nothing");
+        let outcomes = join_all(tasks).await;
+        check(
+            "frozen hosts",
+            &outcomes,
+            &count_arrivals(&fleet, &[engine]).await?,
+        );
+        assert_eq!(count_whole(&outcomes), 30, "a frozen host loses nothing");
         Ok(())
     });
 }
--- a/cypressvaned/tests/promises/idempotency.rs
+++ b/cypressvaned/tests/promises/idempotency.rs
@@ -4,19 +4,22 @@
 use std::time::Duration;
 
 use cypressvane::refusal::{Code, Ran};
-use cypressvane_standin::caller::Ask;
+use cypressvane_standin::caller::CompletionRequest;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
-use cypressvane_standin::platform::{Fault, Trouble};
+use cypressvane_standin::platform::{Fault, Outage};
 
 use crate::common;
-use crate::evidence::{Told, check, check_ledgers, gather, ran, seen, send, whole};
+use crate::ledgers::{
+    Call, check, check_ledgers, count_arrivals, count_errors, count_whole, join_all, send,
+};
 
 /// Number of hosts to which each key is sent.
 const HOSTS: usize = 3;
 
-fn keyed(key: &str) -> Ask {
-    Ask::new(common::URGENT_KEY, "register-model", "permit").with("idempotency-key", key)
+fn keyed(key: &str) -> CompletionRequest {
+    CompletionRequest::new(common::URGENT_KEY, "register-model", "permit")
+        .with_header("idempotency-key", key)
 }
 
 async fn start_fleet(settings: &engine::Settings) -> io::Result<(Fleet, Vec<usize>)> {
@@ -29,17 +32,17 @@
         fleet.add_host("").await?;
     }
     fleet.submit(0, common::CONFIGURATION).await?;
-    fleet.linked().await?;
+    fleet.wait_until_linked().await?;
     Ok((fleet, engines))
 }
 
 /// Sends the same keys to all hosts concurrently.
-fn race(fleet: &Fleet, keys: usize, name: &str) -> Vec<smol::Task<Told>> {
+fn race(fleet: &Fleet, keys: usize, name: &str) -> Vec<smol::Task<Call>> {
     let mut tasks = Vec::new();
     for key in 0..keys {
         for host in 0..HOSTS {
-            let ask = keyed(&format!("{name}-{key}"));
-            tasks.push(send(fleet.callers(host), ask));
+            let request = keyed(&format!("{name}-{key}"));
+            tasks.push(send(fleet.callers(host), request));
         }
     }
     tasks
@@ -79,7 +82,7 @@
         Case {
             name: "table down",
             fault: Fault {
-                table: Trouble::Fails,
+                table: Outage::Fails,
                 ..Fault::default()
             },
             runs: false,
@@ -87,7 +90,7 @@
         Case {
             name: "table silent",
             fault: Fault {
-                table: Trouble::Hangs,
+                table: Outage::Hangs,
                 ..Fault::default()
             },
             runs: false,
@@ -98,18 +101,22 @@
         for case in cases {
             let name = case.name;
             fleet.set_fault(&case.fault).await?;
-            let outcomes = gather(race(&fleet, 10, &name.replace(' ', "-"))).await;
-            check(name, &outcomes, &seen(&fleet, &engines).await?);
+            let outcomes = join_all(race(&fleet, 10, &name.replace(' ', "-"))).await;
+            check(name, &outcomes, &count_arrivals(&fleet, &engines).await?);
             if case.runs {
-                assert_eq!(whole(&outcomes), 10, "{name}: one request per key runs");
                 assert_eq!(
-                    ran(&outcomes, Ran::Unknown),
+                    count_whole(&outcomes),
+                    10,
+                    "{name}: one request per key runs"
+                );
+                assert_eq!(
+                    count_errors(&outcomes, Ran::Unknown),
                     20,
                     "{name}: the outcome of the others is unknown"
                 );
             } else {
                 assert_eq!(
-                    ran(&outcomes, Ran::No),
+                    count_errors(&outcomes, Ran::No),
                     30,
                     "{name}: none runs without a claim"
                 );
@@ -117,8 +124,12 @@
             fleet.set_fault(&Fault::default()).await?;
         }
         // A key that ran once does not run again later on any host.
-        let outcomes = gather(race(&fleet, 10, "table-up")).await;
-        check("keys sent again", &outcomes, &seen(&fleet, &engines).await?);
+        let outcomes = join_all(race(&fleet, 10, "table-up")).await;
+        check(
+            "keys sent again",
+            &outcomes,
+            &count_arrivals(&fleet, &engines).await?,
+        );
         for outcome in &outcomes {
             let answer = outcome
                 .result
@@ -143,27 +154,27 @@
             .map(|key| send(fleet.callers(0), keyed(&format!("died-{key}")).streamed(40)))
             .collect();
         fleet
-            .until("the engines run the requests", async || {
-                seen(&fleet, &engines)
+            .wait_until("the engines run the requests", async || {
+                count_arrivals(&fleet, &engines)
                     .await
-                    .is_ok_and(|seen| seen.keys.len() == 8)
+                    .is_ok_and(|arrivals| arrivals.keys.len() == 8)
             })
             .await?;
         fleet.hosts[0].as_mut().expect("started").kill();
-        let cut = gather(first).await;
-        assert_eq!(whole(&cut), 0, "their host was killed");
+        let cut = join_all(first).await;
+        assert_eq!(count_whole(&cut), 0, "their host was killed");
         let mut outcomes = Vec::new();
         for host in [1, 2] {
             for key in 0..8 {
-                let ask = keyed(&format!("died-{key}"));
-                outcomes.extend(gather(vec![send(fleet.callers(host), ask)]).await);
+                let request = keyed(&format!("died-{key}"));
+                outcomes.extend(join_all(vec![send(fleet.callers(host), request)]).await);
             }
         }
-        let seen = seen(&fleet, &engines).await?;
-        check_ledgers("the host died", &cut, &seen);
-        check("retries", &outcomes, &seen);
+        let arrivals = count_arrivals(&fleet, &engines).await?;
+        check_ledgers("the host died", &cut, &arrivals);
+        check("retries", &outcomes, &arrivals);
         assert_eq!(
-            ran(&outcomes, Ran::Unknown),
+            count_errors(&outcomes, Ran::Unknown),
             16,
             "each retry is answered that it may have run"
         );
@@ -191,11 +202,15 @@
         let retries: Vec<_> = (0..5)
             .map(|key| send(fleet.callers(1), keyed(&format!("frozen-{key}"))))
             .collect();
-        let mut outcomes = gather(retries).await;
+        let mut outcomes = join_all(retries).await;
         fleet.host(0).resume();
-        outcomes.extend(gather(first).await);
-        check("frozen", &outcomes, &seen(&fleet, &engines).await?);
-        assert_eq!(whole(&outcomes), 5, "each key runs once");
+        outcomes.extend(join_all(first).await);
+        check(
+            "frozen",
+            &outcomes,
+            &count_arrivals(&fleet, &engines).await?,
+        );
+        assert_eq!(count_whole(&outcomes), 5, "each key runs once");
         Ok(())
     });
 }
--- a/cypressvaned/tests/promises/leaving_server.rs
+++ b/cypressvaned/tests/promises/leaving_server.rs
@@ -5,13 +5,13 @@
 
 use cypressvane::clock::Instant;
 use cypressvane::platform::Presence;
-use cypressvane_standin::caller::Ask;
+use cypressvane_standin::caller::CompletionRequest;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
-use cypressvane_standin::platform::{Fault, Trouble};
+use cypressvane_standin::platform::{Fault, Outage};
 
 use crate::common;
-use crate::evidence::{Told, check, gather, seen, send, whole};
+use crate::ledgers::{Call, check, count_arrivals, count_whole, join_all, send};
 
 /// Number of hosts.
 const HOSTS: usize = 2;
@@ -34,21 +34,21 @@
         fleet.add_host("").await?;
     }
     fleet.submit(0, common::CONFIGURATION).await?;
-    fleet.linked().await?;
+    fleet.wait_until_linked().await?;
     Ok((fleet, engines))
 }
 
 /// Sends batches of concurrent requests for `time`, so that both engines are needed.
-async fn send_load(fleet: &Fleet, time: Duration) -> Vec<Told> {
+async fn send_load(fleet: &Fleet, time: Duration) -> Vec<Call> {
     let begun = Instant::now();
     let mut outcomes = Vec::new();
     while begun.elapsed() < time {
         let tasks = (0..6).map(|index| {
             let prompt = format!("{} number-{index}", "word ".repeat(400));
-            let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
-            send(fleet.callers(index % HOSTS), ask)
+            let request = CompletionRequest::new(common::URGENT_KEY, "register-model", &prompt);
+            send(fleet.callers(index % HOSTS), request)
         });
-        outcomes.extend(gather(tasks.collect()).await);
+        outcomes.extend(join_all(tasks.collect()).await);
     }
     outcomes
 }
@@ -71,7 +71,7 @@
             let (mut fleet, engines) = start_fleet().await?;
             let leaving = engines[0];
             let before = send_load(&fleet, Duration::from_millis(300)).await;
-            assert_eq!(whole(&before), before.len(), "{notice:?}");
+            assert_eq!(count_whole(&before), before.len(), "{notice:?}");
             match notice {
                 Notice::MarkedLeaving => {
                     fleet.entries[leaving].presence = Presence::Leaving;
@@ -83,7 +83,7 @@
                 }
                 Notice::Announced => {
                     let fault = Fault {
-                        hosts: Trouble::Hangs,
+                        hosts: Outage::Hangs,
                         ..Fault::default()
                     };
                     fleet.set_fault(&fault).await?;
@@ -97,8 +97,12 @@
             let meanwhile = send_load(&fleet, SETTLE_TIME).await;
             let settled = fleet.ledger(leaving).await?.seen.len();
             let after = send_load(&fleet, WATCH).await;
-            let outcomes: Vec<Told> = before.into_iter().chain(meanwhile).chain(after).collect();
-            check("leaving", &outcomes, &seen(&fleet, &engines).await?);
+            let outcomes: Vec<Call> = before.into_iter().chain(meanwhile).chain(after).collect();
+            check(
+                "leaving",
+                &outcomes,
+                &count_arrivals(&fleet, &engines).await?,
+            );
             let later = fleet.ledger(leaving).await?.seen.len();
             assert_eq!(
                 later, settled,
--- a/cypressvaned/tests/promises/main.rs
+++ b/cypressvaned/tests/promises/main.rs
@@ -5,9 +5,9 @@
 
 mod configuration;
 mod dispatch;
-mod evidence;
 mod idempotency;
 mod leaving_server;
+mod ledgers;
 mod not_run;
 mod own_answer;
 mod shedding;
--- a/cypressvaned/tests/promises/not_run.rs
+++ b/cypressvaned/tests/promises/not_run.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use cypressvane::refusal::{Code, Ran};
-use cypressvane_standin::caller::{Answer, Ask};
+use cypressvane_standin::caller::{Answer, CompletionRequest};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 
 use crate::common;
-use crate::evidence::{check, gather, seen, send};
+use crate::ledgers::{check, count_arrivals, join_all, send};
 
 /// A queue of four requests, so that it fills quickly.
 const SETTINGS: &str = "[limits]\nwaiting = 4\n";
@@ -109,15 +109,15 @@
     let mut tasks = Vec::new();
     for index in 0..case.requests {
         let prompt = format!("{} number-{index}", "word ".repeat(50));
-        let mut ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
-        ask.max_tokens = 20;
+        let mut request = CompletionRequest::new(common::URGENT_KEY, "register-model", &prompt);
+        request.max_tokens = 20;
         for (header, value) in case.headers {
-            ask = ask.with(header, value);
+            request = request.with_header(header, value);
         }
-        tasks.push(send(fleet.callers(0), ask));
+        tasks.push(send(fleet.callers(0), request));
     }
-    let outcomes = gather(tasks).await;
-    check(name, &outcomes, &seen(&fleet, &[engine]).await?);
+    let outcomes = join_all(tasks).await;
+    check(name, &outcomes, &count_arrivals(&fleet, &[engine]).await?);
     let refused: Vec<&Answer> = outcomes
         .iter()
         .filter_map(|outcome| outcome.result.as_ref().ok())
--- a/cypressvaned/tests/promises/own_answer.rs
+++ b/cypressvaned/tests/promises/own_answer.rs
@@ -3,14 +3,14 @@
 use std::io;
 
 use cypressvane::refusal::{Code, Ran};
-use cypressvane_standin::caller::Ask;
+use cypressvane_standin::caller::CompletionRequest;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
-use cypressvane_standin::proxy::{Fault, Way};
+use cypressvane_standin::proxy::{Fault, Transfer};
 
 use crate::common;
 use crate::dispatch::proxy_backend;
-use crate::evidence::{check, gather, seen, send};
+use crate::ledgers::{check, count_arrivals, join_all, send};
 
 struct Case {
     name: &'static str,
@@ -84,10 +84,18 @@
             let engine = fleet.add_engine("register-model", &case.settings).await?;
             fleet.add_host("").await?;
             fleet.submit(0, common::CONFIGURATION).await?;
-            let ask = Ask::new(common::URGENT_KEY, "register-model", "mine");
-            let ask = if case.stream { ask.streamed(9) } else { ask };
-            let outcomes = gather(vec![send(fleet.callers(0), ask)]).await;
-            check(case.name, &outcomes, &seen(&fleet, &[engine]).await?);
+            let request = CompletionRequest::new(common::URGENT_KEY, "register-model", "mine");
+            let request = if case.stream {
+                request.streamed(9)
+            } else {
+                request
+            };
+            let outcomes = join_all(vec![send(fleet.callers(0), request)]).await;
+            check(
+                case.name,
+                &outcomes,
+                &count_arrivals(&fleet, &[engine]).await?,
+            );
             let answer = outcomes[0]
                 .result
                 .as_ref()
@@ -122,24 +130,24 @@
         let mut outcomes = Vec::new();
         for stream in [false, true] {
             for bytes in (0..900).step_by(23) {
-                proxy.set(Fault {
-                    back: Way::CutAfter(bytes),
+                proxy.set_fault(Fault {
+                    to_client: Transfer::CutAfter(bytes),
                     ..Fault::default()
                 });
                 let prompt = format!("question number-{bytes}-{stream}");
-                let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
-                let ask = if stream { ask.streamed(6) } else { ask };
+                let request = CompletionRequest::new(common::URGENT_KEY, "register-model", &prompt);
+                let request = if stream { request.streamed(6) } else { request };
                 // A server that keeps failing gets no requests for a while; the deadline is longer than that.
-                outcomes.extend(gather(vec![send(fleet.callers(0), ask)]).await);
-                proxy.set(Fault::default());
-                let good = Ask::new(common::URGENT_KEY, "register-model", "between");
-                outcomes.extend(gather(vec![send(fleet.callers(0), good)]).await);
+                outcomes.extend(join_all(vec![send(fleet.callers(0), request)]).await);
+                proxy.set_fault(Fault::default());
+                let good = CompletionRequest::new(common::URGENT_KEY, "register-model", "between");
+                outcomes.extend(join_all(vec![send(fleet.callers(0), good)]).await);
             }
         }
         check(
             "cut at any byte",
             &outcomes,
-            &seen(&fleet, &[engine]).await?,
+            &count_arrivals(&fleet, &[engine]).await?,
         );
         Ok(())
     });
@@ -159,19 +167,23 @@
         let mut tasks = Vec::new();
         for index in 0..8 {
             let prompt = format!("question number-{index}");
-            let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
-            tasks.push(send(fleet.callers(0), ask));
+            let request = CompletionRequest::new(common::URGENT_KEY, "register-model", &prompt);
+            tasks.push(send(fleet.callers(0), request));
         }
-        let mut outcomes = gather(tasks).await;
+        let mut outcomes = join_all(tasks).await;
         fleet
             .set_engine(engine, &engine::Settings::default())
             .await?;
         for index in 8..16 {
             let prompt = format!("question number-{index}");
-            let ask = Ask::new(common::URGENT_KEY, "register-model", &prompt);
-            outcomes.extend(gather(vec![send(fleet.callers(0), ask)]).await);
+            let request = CompletionRequest::new(common::URGENT_KEY, "register-model", &prompt);
+            outcomes.extend(join_all(vec![send(fleet.callers(0), request)]).await);
         }
-        check("late answers", &outcomes, &seen(&fleet, &[engine]).await?);
+        check(
+            "late answers",
+            &outcomes,
+            &count_arrivals(&fleet, &[engine]).await?,
+        );
         let late = outcomes[..8]
             .iter()
             .filter_map(|outcome| outcome.result.as_ref().ok()?.error.as_ref());
--- a/cypressvaned/tests/promises/shedding.rs
+++ b/cypressvaned/tests/promises/shedding.rs
@@ -3,12 +3,12 @@
 use std::io;
 
 use cypressvane::refusal::Code;
-use cypressvane_standin::caller::Ask;
+use cypressvane_standin::caller::CompletionRequest;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 
 use crate::common;
-use crate::evidence::{Told, check, gather, seen, send, whole};
+use crate::ledgers::{Call, check, count_arrivals, count_whole, join_all, send};
 
 /// Number of hosts.
 const HOSTS: usize = 3;
@@ -43,20 +43,21 @@
     }
     let configuration = common::CONFIGURATION.replace("\"model\"", "\"model\"\nslots = 2");
     fleet.submit(0, &configuration).await?;
-    fleet.linked().await?;
+    fleet.wait_until_linked().await?;
     Ok((fleet, engines))
 }
 
-fn burst(fleet: &Fleet, key: &str, count: usize, hosts: &[usize]) -> Vec<smol::Task<Told>> {
-    let ask = |index: usize| {
+fn burst(fleet: &Fleet, key: &str, count: usize, hosts: &[usize]) -> Vec<smol::Task<Call>> {
+    let request = |index: usize| {
         let prompt = format!("question number-{index}");
-        Ask::new(key, "register-model", &prompt).streamed(15)
+        CompletionRequest::new(key, "register-model", &prompt).streamed(15)
     };
-    let tasks = (0..count).map(|index| send(fleet.callers(hosts[index % hosts.len()]), ask(index)));
+    let tasks =
+        (0..count).map(|index| send(fleet.callers(hosts[index % hosts.len()]), request(index)));
     tasks.collect()
 }
 
-fn overloaded(outcomes: &[Told]) -> usize {
+fn overloaded(outcomes: &[Call]) -> usize {
     let errors = outcomes
         .iter()
         .filter_map(|outcome| outcome.result.as_ref().ok()?.error.as_ref());
@@ -117,19 +118,19 @@
             fleet.set_engine(*engine, &halted).await?;
         }
         fleet
-            .until("the home knows the servers' slots", async || {
+            .wait_until("the home knows the servers' slots", async || {
                 slots(&fleet).await == Some(SLOTS)
             })
             .await?;
         let cheap = burst(&fleet, common::CHEAP_KEY, CHEAP_REQUESTS, &[1, 2]);
         fleet
-            .until("the queue is full of the lowest tier", async || {
+            .wait_until("the queue is full of the lowest tier", async || {
                 waiting(&fleet, LOWEST_RANK).await == QUEUE_LIMIT
             })
             .await?;
         let urgent = burst(&fleet, common::URGENT_KEY, URGENT_REQUESTS, &[0]);
         fleet
-            .until(
+            .wait_until(
                 "the highest tier displaced requests of the lowest",
                 async || waiting(&fleet, LOWEST_RANK).await == QUEUE_LIMIT - URGENT_REQUESTS,
             )
@@ -137,13 +138,13 @@
         for engine in &engines {
             fleet.set_engine(*engine, &slow_engine()).await?;
         }
-        let urgent = gather(urgent).await;
-        let cheap = gather(cheap).await;
-        let seen = seen(&fleet, &engines).await?;
-        check("urgent", &urgent, &seen);
-        check("cheap", &cheap, &seen);
+        let urgent = join_all(urgent).await;
+        let cheap = join_all(cheap).await;
+        let arrivals = count_arrivals(&fleet, &engines).await?;
+        check("urgent", &urgent, &arrivals);
+        check("cheap", &cheap, &arrivals);
         assert_eq!(
-            whole(&urgent),
+            count_whole(&urgent),
             URGENT_REQUESTS,
             "the highest tier is answered"
         );
@@ -153,7 +154,11 @@
             CHEAP_REQUESTS - kept,
             "the lowest tier was displaced"
         );
-        assert_eq!(whole(&cheap), kept, "no more than needed was displaced");
+        assert_eq!(
+            count_whole(&cheap),
+            kept,
+            "no more than needed was displaced"
+        );
         Ok(())
     });
 }
@@ -166,23 +171,23 @@
             |home: usize| -> Vec<usize> { (0..HOSTS).filter(|host| *host != home).collect() };
         let probe = burst(&fleet, common::CHEAP_KEY, 12, &[0, 1, 2]);
         fleet
-            .until("requests wait", async || home(&fleet).await.is_ok())
+            .wait_until("requests wait", async || home(&fleet).await.is_ok())
             .await?;
         let dying = home(&fleet).await?;
-        gather(probe).await;
+        join_all(probe).await;
         let cheap = burst(&fleet, common::CHEAP_KEY, CHEAP_REQUESTS, &others(dying));
         fleet
-            .until("requests wait", async || home(&fleet).await.is_ok())
+            .wait_until("requests wait", async || home(&fleet).await.is_ok())
             .await?;
         let urgent = burst(&fleet, common::URGENT_KEY, URGENT_REQUESTS, &others(dying));
         fleet.hosts[dying].as_mut().expect("started").kill();
-        let urgent = gather(urgent).await;
-        let cheap = gather(cheap).await;
-        let seen = seen(&fleet, &engines).await?;
-        check("urgent", &urgent, &seen);
-        check("cheap", &cheap, &seen);
+        let urgent = join_all(urgent).await;
+        let cheap = join_all(cheap).await;
+        let arrivals = count_arrivals(&fleet, &engines).await?;
+        check("urgent", &urgent, &arrivals);
+        check("cheap", &cheap, &arrivals);
         assert_eq!(
-            whole(&urgent),
+            count_whole(&urgent),
             URGENT_REQUESTS,
             "the highest tier is answered"
         );
--- a/cypressvaned/tests/promises/shutdown.rs
+++ b/cypressvaned/tests/promises/shutdown.rs
@@ -7,14 +7,14 @@
 
 use cypressvane::client;
 use cypressvane::runtime::spawn;
-use cypressvane_standin::caller::Ask;
+use cypressvane_standin::caller::CompletionRequest;
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 use http_types::Method;
 use smol::Timer;
 
 use crate::common;
-use crate::evidence::{check, gather, seen, send, whole};
+use crate::ledgers::{check, count_arrivals, count_whole, join_all, send};
 
 /// Number of hosts, which are restarted one after the other.
 const HOSTS: usize = 7;
@@ -69,7 +69,7 @@
             fleet.add_host(SETTINGS).await?;
         }
         fleet.submit(0, common::CONFIGURATION).await?;
-        fleet.linked().await?;
+        fleet.wait_until_linked().await?;
         let balancer = Balancer::default();
         let addresses = |fleet: &Fleet| {
             fleet
@@ -95,17 +95,21 @@
                     break;
                 }
                 let keys = [common::URGENT_KEY, common::PATIENT_KEY];
-                let ask = Ask::new(keys[turn % 2], "register-model", &format!("number-{turn}"));
-                let ask = if turn % 3 == 0 {
-                    ask.streamed(100)
+                let request = CompletionRequest::new(
+                    keys[turn % 2],
+                    "register-model",
+                    &format!("number-{turn}"),
+                );
+                let request = if turn % 3 == 0 {
+                    request.streamed(100)
                 } else {
-                    ask
+                    request
                 };
                 let address = picks.pick(turn).expect("some host is ready");
-                tasks.push(send(address, ask));
+                tasks.push(send(address, request));
                 Timer::after(Duration::from_millis(20)).await;
             }
-            gather(tasks).await
+            join_all(tasks).await
         });
         for index in 0..HOSTS {
             let mut host = fleet.hosts[index].take().expect("started");
@@ -113,12 +117,16 @@
             let status = host.wait(EXIT_TIMEOUT).expect("the host exits");
             assert_eq!(status.code(), Some(0), "host {index} cut requests");
             fleet.start_host(index, SETTINGS).await?;
-            fleet.in_force(1).await?;
+            fleet.wait_in_force(1).await?;
             *balancer.hosts.lock().expect("the lock is not poisoned") = addresses(&fleet);
         }
         done.store(true, Ordering::Relaxed);
         let outcomes = load.await;
-        check("rolling restart", &outcomes, &seen(&fleet, &engines).await?);
+        check(
+            "rolling restart",
+            &outcomes,
+            &count_arrivals(&fleet, &engines).await?,
+        );
         let failed: Vec<_> = outcomes
             .iter()
             .filter(|outcome| !outcome.result.as_ref().is_ok_and(|answer| answer.whole))
@@ -129,7 +137,7 @@
             failed.len(),
             outcomes.len()
         );
-        assert_eq!(whole(&outcomes), outcomes.len());
+        assert_eq!(count_whole(&outcomes), outcomes.len());
         Ok(())
     });
 }
--- a/cypressvaned/tests/server_limits.rs
+++ b/cypressvaned/tests/server_limits.rs
@@ -5,7 +5,7 @@
 
 use std::io;
 
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 
@@ -31,22 +31,24 @@
                 ..engine::Settings::default()
             };
             let engine = fleet.add_engine(MODEL, &settings).await?;
-            let mut request = Ask::new(common::URGENT_KEY, MODEL, "a prompt");
+            let mut request = CompletionRequest::new(common::URGENT_KEY, MODEL, "a prompt");
             request.max_tokens = 2;
             request.stream = case.stream;
             let answered = async || {
-                let answer = ask(fleet.callers(0), &request).await;
+                let answer = complete(fleet.callers(0), &request).await;
                 answer.is_ok_and(|answer| answer.whole)
             };
-            fleet.until("a completion is answered", answered).await?;
+            fleet
+                .wait_until("a completion is answered", answered)
+                .await?;
             assert_eq!(known_limit(&fleet).await, Some(LIMIT), "{}", case.name);
             settings.limit = None;
             fleet.set_engine(engine, &settings).await?;
             let is_unlimited = async || {
-                let answer = ask(fleet.callers(0), &request).await;
+                let answer = complete(fleet.callers(0), &request).await;
                 answer.is_ok() && known_limit(&fleet).await.is_none()
             };
-            fleet.until("the limit ends", is_unlimited).await?;
+            fleet.wait_until("the limit ends", is_unlimited).await?;
         }
         Ok::<_, io::Error>(())
     });
--- a/cypressvaned/tests/seven_hosts.rs
+++ b/cypressvaned/tests/seven_hosts.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 use cypressvane::runtime::spawn;
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 
@@ -40,22 +40,23 @@
             fleet.add_host("").await?;
         }
         fleet.submit(0, common::CONFIGURATION).await?;
-        fleet.linked().await?;
+        fleet.wait_until_linked().await?;
         let mut running = Vec::new();
         for index in 0..REQUESTS {
             let address = fleet.callers(index % HOSTS);
             let keys = [common::URGENT_KEY, common::PATIENT_KEY, common::CHEAP_KEY];
             let filler = "word ".repeat(10 * (index % 100));
             let prompt = format!("{filler} number-{index}");
-            let request = Ask::new(keys[index % keys.len()], "register-model", &prompt);
+            let request =
+                CompletionRequest::new(keys[index % keys.len()], "register-model", &prompt);
             let request = if index % 2 == 0 {
                 request.streamed(20)
             } else {
                 request
             };
-            running.push(spawn(
-                async move { (ask(address, &request).await, request) },
-            ));
+            running.push(spawn(async move {
+                (complete(address, &request).await, request)
+            }));
         }
         let plain = (0..PLAIN_REQUESTS).map(|index| {
             let address = fleet.callers(index % HOSTS);
--- a/cypressvaned/tests/shards.rs
+++ b/cypressvaned/tests/shards.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 use cypressvane::runtime::spawn;
-use cypressvane_standin::caller::{Ask, ask};
+use cypressvane_standin::caller::{CompletionRequest, complete};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
 
@@ -50,9 +50,9 @@
             fleet.add_host(SETTINGS).await?;
         }
         fleet.submit(0, common::CONFIGURATION).await?;
-        fleet.linked().await?;
+        fleet.wait_until_linked().await?;
         fleet
-            .until("each shard has one home", async || {
+            .wait_until("each shard has one home", async || {
                 homes(&fleet).await.is_some()
             })
             .await?;
@@ -66,8 +66,9 @@
         let holder = (0..HOSTS).find(|host| *host != frozen && *host != live);
         let address = fleet.callers(holder.expect("there are four"));
         let answers = (0..REQUESTS).map(|index| {
-            let request = Ask::new(common::URGENT_KEY, MODEL, &format!("number-{index}"));
-            spawn(async move { (ask(address, &request).await, request) })
+            let request =
+                CompletionRequest::new(common::URGENT_KEY, MODEL, &format!("number-{index}"));
+            spawn(async move { (complete(address, &request).await, request) })
         });
         let answers: Vec<_> = answers.collect();
         for answer in answers {
