--- a/cypressvane/src/transport/accounts.rs
+++ b/cypressvane/src/transport/accounts.rs
@@ -17,7 +17,7 @@
 use crate::state::name::Name;
 use crate::state::units::of_millis;
 use crate::transport::peers::links::Links;
-use crate::transport::runtime::{lock, within};
+use crate::transport::runtime::{lock, timeout};
 
 /// How long a request waits for its account's home before this host charges its own share: ten round trips between
 /// data centres, and well within the shortest objective (100 ms).
@@ -170,7 +170,7 @@
                 .map(|()| Some(home));
         }
         let pending = self.request_charge(home, account, tokens);
-        let reply = within(HOME_TIMEOUT, pending.reply()).await.flatten();
+        let reply = timeout(HOME_TIMEOUT, pending.reply()).await.flatten();
         match reply {
             Some(Word::Within) => return Ok(Some(pending.home.clone())),
             Some(Word::Over(over)) => return Err(over),
@@ -189,7 +189,7 @@
             pending.mark_charged_locally(account, tokens);
             return Ok(None);
         };
-        match within(EXTRA_HOME_TIMEOUT, pending.reply()).await.flatten() {
+        match timeout(EXTRA_HOME_TIMEOUT, pending.reply()).await.flatten() {
             Some(Word::Within) => Ok(Some(pending.home.clone())),
             Some(Word::Over(over)) => Err(over),
             Some(Word::Unknown) => Err(over),
@@ -229,7 +229,7 @@
     }
 
     /// Replies to a charge that another host requested; `account` is `None` if the version in force here lacks it.
-    pub(crate) fn answer(
+    pub(crate) fn handle_charge(
         &self,
         from: &Name,
         sequence: u64,
@@ -246,7 +246,7 @@
     }
 
     /// Handles the reply of an account's home.
-    pub(crate) fn hear(&self, sequence: u64, reply: Word) {
+    pub(crate) fn handle_reply(&self, sequence: u64, reply: Word) {
         match lock(&self.pending).remove(&sequence) {
             // The channel has room for one reply, and each charge gets no more than one.
             Some(ChargeState::Waiting(sender)) => drop(sender.try_send(reply)),
@@ -272,7 +272,7 @@
             return;
         }
         if *home == self.me {
-            self.take_back(account, charge.tokens, Instant::now());
+            self.handle_give_back(account, charge.tokens, Instant::now());
             return;
         }
         let message = Message::GiveBack {
@@ -283,13 +283,13 @@
     }
 
     /// Puts a charge back into the buckets here, since its request was not sent to a backend server.
-    pub(crate) fn take_back(&self, account: &Account, tokens: u32, now: Instant) {
+    pub(crate) fn handle_give_back(&self, account: &Account, tokens: u32, now: Instant) {
         let share = self.links.share(now);
         lock(&self.ledger).give_back(account, tokens, share, now);
     }
 
     /// Debits what another host charged to its own share.
-    pub(crate) fn debit(&self, account: &Account, tokens: u32, now: Instant) {
+    pub(crate) fn handle_spent(&self, account: &Account, tokens: u32, now: Instant) {
         let share = self.links.share(now);
         lock(&self.ledger).debit(account, tokens, share, now);
     }
--- a/cypressvane/src/transport/active.rs
+++ b/cypressvane/src/transport/active.rs
@@ -17,7 +17,7 @@
     pub(crate) index: Index,
     pub(crate) policies: policy::Programs,
     /// The encoded bundle for other hosts; made when the first one requests it.
-    pub(crate) packed: OnceLock<Vec<u8>>,
+    pub(crate) encoded: OnceLock<Vec<u8>>,
 }
 
 impl Active {
@@ -38,13 +38,13 @@
             texts: BTreeMap::new(),
             index: Index::new(fleet),
             policies,
-            packed: OnceLock::new(),
+            encoded: OnceLock::new(),
         })
     }
 
     /// The version as an encoded `Bundle` for other hosts. The first call on a large version takes long, as it cuts it.
-    pub(crate) fn packed(&self) -> &[u8] {
-        self.packed.get_or_init(|| {
+    pub(crate) fn encoded(&self) -> &[u8] {
+        self.encoded.get_or_init(|| {
             let bundle = rmp_serde::to_vec(&self.bundle());
             bundle.expect("plain values have a MessagePack form")
         })
--- a/cypressvane/src/transport/admission.rs
+++ b/cypressvane/src/transport/admission.rs
@@ -22,7 +22,9 @@
     let Some(policy) = &service.policy else {
         return Verdict::DEFAULT;
     };
-    let queue = node.scheduler.queue(&node.rollouts.pool(&service.name));
+    let queue = node
+        .scheduler
+        .queue(&node.rollouts.serving_pool(&service.name));
     active
         .policies
         .decide(policy, facts, queue)
@@ -37,7 +39,7 @@
 }
 
 /// The refusal reason for a caller over its account's limits.
-pub(crate) fn over_reason(over: &Over) -> Reason {
+pub(crate) fn over_limit_reason(over: &Over) -> Reason {
     let (limit, wait) = match over {
         Over::Requests(wait) => ("requests a second", *wait),
         Over::Tokens(wait) => ("tokens a second", *wait),
--- a/cypressvane/src/transport/backend.rs
+++ b/cypressvane/src/transport/backend.rs
@@ -18,7 +18,7 @@
 
 use crate::state::clock::Instant;
 use crate::transport::http::keepalive;
-use crate::transport::runtime::{spawn, within};
+use crate::transport::runtime::{spawn, timeout};
 
 /// Time after which unacknowledged bytes break the connection; as long as a caller's patience with a short call lasts.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -48,7 +48,7 @@
 /// # Errors
 /// Fails if there is no connection within `limit`; nothing has been sent then.
 pub(crate) async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Connection> {
-    let stream = within(limit, TcpStream::connect(address))
+    let stream = timeout(limit, TcpStream::connect(address))
         .await
         .ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
@@ -74,13 +74,13 @@
 pub(crate) async fn has_ended(address: SocketAddr, settle: Duration) -> bool {
     let end = Instant::now() + settle;
     loop {
-        let is_closed = match within(PROBE_TIMEOUT, TcpStream::connect(address)).await {
+        let is_closed = match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
             Some(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => return true,
             // A reset means that the connection was made and closed at once, other errors that there is no path to it.
             Some(Err(error)) => error.kind() == io::ErrorKind::ConnectionReset,
             Some(Ok(mut probe)) => {
                 let left = end.saturating_duration_since(Instant::now());
-                let read = within(left, probe.read(&mut [0])).await;
+                let read = timeout(left, probe.read(&mut [0])).await;
                 matches!(read, Some(Err(_) | Ok(0)))
             }
             None => false,
--- a/cypressvane/src/transport/callers/dispatch.rs
+++ b/cypressvane/src/transport/callers/dispatch.rs
@@ -23,7 +23,7 @@
 use crate::transport::http::answer::{self, REQUEST_ID};
 use crate::transport::http::client::{self, Connection, Error};
 use crate::transport::node::Node;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 use crate::transport::scheduler::{Decision, Grant, HeldRequest, RequestSpec};
 use crate::transport::trace::{ANSWERED, Trace};
 
@@ -89,7 +89,7 @@
 
 /// Records a refusal in the trace and builds its response.
 fn refusal_response(trace: &mut Trace, refusal: &Refusal) -> Response {
-    trace.fail(&refusal.reason);
+    trace.record_failure(&refusal.reason);
     answer::refusal(refusal)
 }
 
@@ -106,7 +106,7 @@
         let remaining = spec
             .first_token_deadline
             .saturating_duration_since(Instant::now());
-        let decision = within(remaining + HOME_MARGIN, held.decision()).await;
+        let decision = timeout(remaining + HOME_MARGIN, held.decision()).await;
         let grant = match decision {
             // This grant is too late to be used; it is returned when the held request is dropped.
             Some(Decision::Grant(_)) if Instant::now() >= spec.first_token_deadline => {
@@ -116,13 +116,13 @@
             Some(Decision::Refuse(reason)) => return Err(request.refuse(reason)),
             None => return Err(request.refuse(Reason::deadline_passed())),
         };
-        trace.granted(&grant);
+        trace.record_grant(&grant);
         let Grant {
             server, address, ..
         } = grant;
         match client::connect(address, connect_time).await {
             Ok(connection) => {
-                trace.connected();
+                trace.record_connected();
                 return Ok(Ready {
                     request,
                     held,
@@ -177,7 +177,7 @@
     set_target(&mut outgoing, address);
     outgoing.insert_header(REQUEST_ID, &request.id);
     let silence = Timeouts::of(node.config.timeouts.silence_ms);
-    trace.sent();
+    trace.record_sent();
     let dispatched = request.dispatch(Instant::now());
     let remaining = spec
         .answer_deadline
@@ -226,7 +226,7 @@
                 .times
                 .first_token
                 .observe(spec.arrived.elapsed().as_secs_f64());
-            trace.end(ANSWERED);
+            trace.record_outcome(ANSWERED);
             sent.record_success();
             held.finish(end_for(&response));
             forwarded_response(&response, body, &dispatched.id)
--- a/cypressvane/src/transport/callers/mod.rs
+++ b/cypressvane/src/transport/callers/mod.rs
@@ -24,7 +24,7 @@
 use crate::state::name::Name;
 use crate::state::units::millis;
 use crate::transport::active::Active;
-use crate::transport::admission::{over_reason, verdict};
+use crate::transport::admission::{over_limit_reason, verdict};
 use crate::transport::http::answer::{self, REQUEST_ID};
 use crate::transport::http::head::{bearer, header};
 use crate::transport::http::server::{Endpoint, IncomingRequest};
@@ -96,7 +96,7 @@
         let account = bearer(&call.request).and_then(|key| active.index.account(key));
         let Some(account) = account else {
             let reason = Reason::new(Code::Unauthorized, "the bearer key is missing or unknown");
-            return answer::refusal(&request.refuse(self.node.unknown(reason)));
+            return answer::refusal(&request.refuse(self.node.unknown_reason(reason)));
         };
         let outcome = match &route {
             Route::Models => return list_models(&active, &request.id),
@@ -112,7 +112,7 @@
                     .await
             }
             Err(reason) if reason.code == Code::UnknownModel => {
-                answer::refusal(&request.refuse(self.node.unknown(reason)))
+                answer::refusal(&request.refuse(self.node.unknown_reason(reason)))
             }
             Err(reason) => answer::refusal(&request.refuse(reason)),
         }
@@ -141,7 +141,7 @@
         let admitted = self.node.accounts.admit(&request.id, account, tokens).await;
         let charge = match admitted {
             Ok(charge) => charge,
-            Err(over) => return answer::refusal(&request.refuse(over_reason(&over))),
+            Err(over) => return answer::refusal(&request.refuse(over_limit_reason(&over))),
         };
         let mut trace = Trace::new(
             &self.node,
@@ -151,7 +151,7 @@
             prepared.service.name.clone(),
             arrived,
         );
-        trace.charged(charge);
+        trace.record_charge(charge);
         let allowed = options
             .deadline
             .unwrap_or(Duration::from_millis(tier.deadline_ms));
@@ -170,12 +170,12 @@
             Verdict::Wait { priority } => priority,
             Verdict::Refuse { why } => {
                 let reason = Reason::new(Code::RefusedByPolicy, why);
-                trace.end(reason.code.text());
+                trace.record_outcome(reason.code.text());
                 return answer::refusal(&request.refuse(reason));
             }
         };
         let spec = RequestSpec {
-            pool: self.node.rollouts.pool(&prepared.service.name),
+            pool: self.node.rollouts.serving_pool(&prepared.service.name),
             service: prepared.service.name,
             rank,
             priority,
--- a/cypressvane/src/transport/callers/relay.rs
+++ b/cypressvane/src/transport/callers/relay.rs
@@ -16,7 +16,7 @@
 use crate::state::clock::Instant;
 use crate::transport::http::answer::{self, REQUEST_ID};
 use crate::transport::http::client::Error;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 use crate::transport::scheduler::HeldRequest;
 use crate::transport::trace::{ANSWERED, Trace};
 
@@ -116,7 +116,7 @@
             .deadline
             .saturating_duration_since(Instant::now());
         let mut chunk = vec![0; READ_BYTES];
-        let read = within(
+        let read = timeout(
             self.limits.silence.min(left),
             self.response.read(&mut chunk),
         )
@@ -170,7 +170,7 @@
         if let Some(held) = self.held.take() {
             held.finish(end);
         }
-        self.trace.end(outcome);
+        self.trace.record_outcome(outcome);
     }
 
     /// Builds the event that tells the caller that the answer is incomplete.
--- a/cypressvane/src/transport/callers/sent.rs
+++ b/cypressvane/src/transport/callers/sent.rs
@@ -53,12 +53,15 @@
             sent: self.at,
         };
         let node = &self.node;
-        node.quarantine.ended(&node.metrics, &ended, Instant::now());
+        node.quarantine
+            .record_end(&node.metrics, &ended, Instant::now());
     }
 
     /// Records that the request was answered completely, which clears it of suspicion.
     pub(super) fn record_success(&self) {
         let fingerprint = || self.fingerprint;
-        self.node.quarantine.answered(fingerprint, Instant::now());
+        self.node
+            .quarantine
+            .record_answer(fingerprint, Instant::now());
     }
 }
--- a/cypressvane/src/transport/gateway/admission.rs
+++ b/cypressvane/src/transport/gateway/admission.rs
@@ -23,9 +23,9 @@
 use crate::state::units::millis;
 use crate::transport::accounts::Charge;
 use crate::transport::active::Active;
-use crate::transport::admission::{over_reason, verdict};
-use crate::transport::node::{NOT_READY_RETRY, Node};
-use crate::transport::runtime::within;
+use crate::transport::admission::{over_limit_reason, verdict};
+use crate::transport::node::{NOT_READY_RETRY_AFTER, Node};
+use crate::transport::runtime::timeout;
 use crate::transport::scheduler::RequestSpec;
 use crate::transport::trace::Trace;
 
@@ -80,10 +80,14 @@
     head: Parts,
     body: Incoming,
 ) -> Result<(Exchange, Request<Waiting>), Refusal> {
-    node.begun(ask.patience).await;
+    node.wait_initialized(ask.patience).await;
     let Some(active) = node.active() else {
         let message = "this host has no configuration yet";
-        return Err(request.refuse(Reason::later(Code::NotReady, message, NOT_READY_RETRY)));
+        return Err(request.refuse(Reason::later(
+            Code::NotReady,
+            message,
+            NOT_READY_RETRY_AFTER,
+        )));
     };
     // Takes the current time, not that of arrival: reading the head and waiting for this host to start may take long.
     let matched = match resolve(node, &active, &head, &ask, Instant::now()) {
@@ -111,9 +115,9 @@
     };
     let mut trace = trace(node, &matched, &request);
     if let Some(charge) = charge {
-        trace.charged(charge);
+        trace.record_charge(charge);
     }
-    let way = node.rollouts.way(&matched.service.name);
+    let pool_choice = node.rollouts.choose_pool(&matched.service.name);
     let spec = request_spec(
         node,
         &active,
@@ -124,15 +128,15 @@
     );
     let spec = match spec {
         Ok(spec) => RequestSpec {
-            pool: way.pool.clone(),
+            pool: pool_choice.pool.clone(),
             ..spec
         },
         Err(reason) => {
-            trace.fail(&reason);
+            trace.record_failure(&reason);
             return Err(request.refuse(reason));
         }
     };
-    node.count_request(&spec.service, request.arrived);
+    node.add_to_retry_budget(&spec.service, request.arrived);
     let contract = Contract {
         method: matched.route.method,
         max_attempts: matched.route.attempts,
@@ -142,7 +146,7 @@
     };
     let routing = Routing {
         route: matched.route.name.clone(),
-        way,
+        pool_choice,
         spec,
     };
     let exchange = Exchange::new(Arc::clone(node), trace, routing, contract, inbound);
@@ -244,7 +248,7 @@
     };
     let tokens = charged_tokens(ask, account);
     let admitted = node.accounts.admit(&request.id, account, tokens).await;
-    admitted.map(Some).map_err(|over| over_reason(&over))
+    admitted.map(Some).map_err(|over| over_limit_reason(&over))
 }
 
 /// Finds the route, account and service of a request, and checks that it has an id.
@@ -256,12 +260,12 @@
     now: Instant,
 ) -> Result<RouteMatch<'a>, Reason> {
     let route = active.index.route(host(head), head.uri.path());
-    let unknown = |code, message| node.unknown(Reason::new(code, message));
+    let unknown = |code, message| node.unknown_reason(Reason::new(code, message));
     let route = route.ok_or_else(|| unknown(Code::NotFound, "no route matches"))?;
     let account = if route.public {
         None
     } else {
-        if !node.knows_keys(now) {
+        if !node.has_valid_keys(now) {
             return Err(respond::unconfirmed_keys());
         }
         let account = ask.key.as_deref().and_then(|key| active.index.account(key));
@@ -289,7 +293,7 @@
 async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Reason> {
     let most = usize::try_from(node.config.limits.body_bytes).unwrap_or(usize::MAX);
     let limit = Duration::from_millis(node.config.timeouts.body_ms);
-    let read = within(limit, Limited::new(body, most).collect()).await;
+    let read = timeout(limit, Limited::new(body, most).collect()).await;
     match read {
         Some(Ok(whole)) => Ok(whole.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => {
--- a/cypressvane/src/transport/gateway/attempt.rs
+++ b/cypressvane/src/transport/gateway/attempt.rs
@@ -10,7 +10,7 @@
 use crate::state::clock::Instant;
 use crate::transport::backend;
 use crate::transport::quarantine::Ended;
-use crate::transport::rollout::{Observed, Way};
+use crate::transport::rollout::{Observed, PoolChoice};
 use crate::transport::trace::ANSWERED;
 
 /// How long a server that broke an answer off may take to stop listening. The request waits up to that long before it
@@ -34,17 +34,21 @@
                 sent: attempt.at,
             };
             let node = &self.node;
-            node.quarantine.ended(&node.metrics, &ended, Instant::now());
+            node.quarantine
+                .record_end(&node.metrics, &ended, Instant::now());
         }
     }
 
     /// Records a whole answer; `pause` is the mean pause between the events of a stream.
     pub(super) fn record_success(&mut self, pause: Option<Duration>) {
-        self.way.observe(&self.route, Observed::Whole { pause });
-        self.trace.end(ANSWERED);
+        self.pool_choice
+            .observe(&self.route, Observed::Whole { pause });
+        self.trace.record_outcome(ANSWERED);
         self.held.end(End::Whole);
         let fingerprint = || self.inbound.fingerprint();
-        self.node.quarantine.answered(fingerprint, Instant::now());
+        self.node
+            .quarantine
+            .record_answer(fingerprint, Instant::now());
     }
 
     /// Records for the roll-out how long an accepted answer, or its first events, took and how long was expected.
@@ -55,7 +59,7 @@
             took: sent.elapsed(),
             expected: belief.overhead + Duration::from_secs_f64(prefill_seconds),
         };
-        self.way.observe(&self.route, first);
+        self.pool_choice.observe(&self.route, first);
     }
 
     /// Records a failed attempt against the server's version, unless the server ended under the request or did not
@@ -68,9 +72,10 @@
         match &self.last_attempt {
             Some(attempt) if failure.is_truncated || is_silent => {
                 let server = &attempt.server;
-                self.way.observe(&self.route, Observed::Broken { server });
+                self.pool_choice
+                    .observe(&self.route, Observed::Broken { server });
             }
-            _ => self.way.observe(&self.route, Observed::Failed),
+            _ => self.pool_choice.observe(&self.route, Observed::Failed),
         }
     }
 
@@ -80,8 +85,8 @@
     /// the caller its answer. Returns whether the pool changed.
     pub(super) fn switch_pool(&mut self) -> bool {
         let (rollouts, service) = (&self.node.rollouts, &self.spec.service);
-        let pool = if self.way.is_new() {
-            Some(rollouts.pool(service))
+        let pool = if self.pool_choice.is_new() {
+            Some(rollouts.serving_pool(service))
         } else {
             rollouts.successor(service, &self.spec.pool)
         };
@@ -90,7 +95,7 @@
         };
         self.held.change_pool(&pool);
         self.spec.pool = pool.clone();
-        self.way = Way::to(pool);
+        self.pool_choice = PoolChoice::to(pool);
         true
     }
 
@@ -103,7 +108,7 @@
         if now >= self.spec.first_token_deadline {
             return Err(timed_out());
         }
-        if self.inbound.account.is_some() && !self.node.knows_keys(now) {
+        if self.inbound.account.is_some() && !self.node.has_valid_keys(now) {
             return Err(respond::unconfirmed_keys());
         }
         self.quarantine_refusal().map_or(Ok(()), Err)
--- a/cypressvane/src/transport/gateway/exchange.rs
+++ b/cypressvane/src/transport/gateway/exchange.rs
@@ -21,8 +21,8 @@
 use crate::state::name::Name;
 use crate::transport::backend::{self, Answer, Connection};
 use crate::transport::node::Node;
-use crate::transport::rollout::Way;
-use crate::transport::runtime::within;
+use crate::transport::rollout::PoolChoice;
+use crate::transport::runtime::timeout;
 use crate::transport::scheduler::{Decision, Grant, HeldRequest, RequestSpec};
 use crate::transport::trace::Trace;
 
@@ -48,7 +48,7 @@
     pub(super) held: HeldRequest,
     pub(super) route: Name,
     /// The version of the service that the request goes to.
-    pub(super) way: Way,
+    pub(super) pool_choice: PoolChoice,
     /// Number of attempts so far.
     attempts: u32,
     /// The most recent attempt.
@@ -58,7 +58,7 @@
 /// Where a request goes: its route, its service's version, and what it asks of the pool's home.
 pub(super) struct Routing {
     pub(super) route: Name,
-    pub(super) way: Way,
+    pub(super) pool_choice: PoolChoice,
     pub(super) spec: RequestSpec,
 }
 
@@ -96,11 +96,15 @@
         contract: Contract,
         inbound: InboundRequest,
     ) -> Self {
-        let Routing { route, way, spec } = routing;
+        let Routing {
+            route,
+            pool_choice,
+            spec,
+        } = routing;
         let held = node.scheduler.hold(&spec);
         Self {
             route,
-            way,
+            pool_choice,
             node,
             trace,
             spec,
@@ -116,7 +120,7 @@
     pub(super) async fn run(mut self, request: Request<Waiting>) -> Response<Body> {
         match self.send_until_accepted(Turn::First(request)).await {
             Ok((_, Success::Buffered(head, body))) => {
-                self.trace.first_token();
+                self.trace.record_first_token();
                 self.record_success(None);
                 forward_response(head, respond::full_body(body))
             }
@@ -125,7 +129,7 @@
                 forward_response(head, body)
             }
             Err(refusal) => {
-                self.trace.fail(&refusal.reason);
+                self.trace.record_failure(&refusal.reason);
                 let id = self.inbound.caller_id.as_deref();
                 respond::refusal(&self.node.dialect, &refusal, id)
             }
@@ -145,7 +149,7 @@
                 Err(reason) => return Err(turn.refuse(reason)),
             };
             self.attempts += 1;
-            self.trace.sent();
+            self.trace.record_sent();
             let at = Instant::now();
             self.last_attempt = Some(Attempt {
                 server: ready.server.clone(),
@@ -229,7 +233,7 @@
             Err("deadline")
         } else if self.quarantine_refusal().is_some() {
             Err("quarantine")
-        } else if !self.node.may_repeat(&self.spec.service, now) {
+        } else if !self.node.take_retry(&self.spec.service, now) {
             Err("budget")
         } else {
             Ok(())
@@ -244,7 +248,7 @@
                 .spec
                 .first_token_deadline
                 .saturating_duration_since(Instant::now());
-            let decision = within(left + HOME_MARGIN, self.held.decision()).await;
+            let decision = timeout(left + HOME_MARGIN, self.held.decision()).await;
             let grant = match decision {
                 // This grant is too late to be used; it is returned when the held request is dropped.
                 Some(Decision::Grant(_)) if Instant::now() >= self.spec.first_token_deadline => {
@@ -271,13 +275,13 @@
                 self.held.offer_again(End::Leaving, None);
                 continue;
             }
-            self.trace.granted(&grant);
+            self.trace.record_grant(&grant);
             let Grant {
                 server, address, ..
             } = grant;
             match backend::connect(address, connect_time).await {
                 Ok(connection) => {
-                    self.trace.connected();
+                    self.trace.record_connected();
                     self.check_sendable()?;
                     return Ok(Ready {
                         server,
@@ -303,25 +307,25 @@
         let request = self.outgoing_request(&ready.server);
         let end = Instant::now() + self.response_timeout();
         let left = || end.saturating_duration_since(Instant::now());
-        let answer = match within(left(), ready.connection.send(request)).await {
+        let answer = match timeout(left(), ready.connection.send(request)).await {
             Some(Ok(answer)) => answer,
             Some(Err(error)) => return Err(Failure::broken(error)),
             None => return Err(Failure::silent()),
         };
         let status = answer.response.status();
         let reply = self.node.dialect.reply(status, answer.response.headers());
-        self.trace.loaded(reply.load);
+        self.trace.record_load(reply.load);
         if reply.tells_of_server(self.inbound.caller_id.as_deref()) {
             self.held.report_limit(reply.limit, &self.node.metrics);
         }
         self.check_head(&answer, &reply)?;
         if self.contract.method.is_stream() && status.is_success() {
-            let (head, stream) = within(left(), Stream::begin(answer, self.inbound.last_event))
+            let (head, stream) = timeout(left(), Stream::begin(answer, self.inbound.last_event))
                 .await
                 .ok_or_else(Failure::silent)??;
             return Ok(Success::Stream(head, stream));
         }
-        let (head, body) = within(left(), self.read_body(answer))
+        let (head, body) = timeout(left(), self.read_body(answer))
             .await
             .ok_or_else(Failure::silent)??;
         if status.is_server_error() {
--- a/cypressvane/src/transport/gateway/relay.rs
+++ b/cypressvane/src/transport/gateway/relay.rs
@@ -17,7 +17,7 @@
 use crate::protocol::request::{Dispatched, Request};
 use crate::state::clock::Instant;
 use crate::transport::backend::Answer;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 
 /// Multiple of the route's longest pause after which a stream is taken from a silent server. Callers abandon a stream
 /// after eight such pauses.
@@ -160,7 +160,7 @@
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             let mut upstream = self.upstream.take()?;
-            let failure = match within(self.silence_timeout(), upstream.stream.next()).await {
+            let failure = match timeout(self.silence_timeout(), upstream.stream.next()).await {
                 Some(Ok(Some(events))) => {
                     self.record_events();
                     self.upstream = Some(upstream);
@@ -177,7 +177,7 @@
             match self.resume(upstream, failure).await {
                 Ok(resumed) => self.upstream = Some(resumed),
                 Err(reason) => {
-                    self.exchange.trace.fail(&reason);
+                    self.exchange.trace.record_failure(&reason);
                     return Some(Err(io::Error::other(reason.message)));
                 }
             }
@@ -222,12 +222,12 @@
         let now = Instant::now();
         match self.last_events_at {
             None => {
-                self.exchange.trace.first_token();
+                self.exchange.trace.record_first_token();
                 self.exchange.held.report_first_token();
             }
             Some(last) => {
                 let pause = now.saturating_duration_since(last);
-                self.exchange.trace.gap(pause);
+                self.exchange.trace.record_gap(pause);
                 self.exchange.held.note_pause(pause);
                 self.pauses.add(pause);
             }
--- a/cypressvane/src/transport/gateway/respond.rs
+++ b/cypressvane/src/transport/gateway/respond.rs
@@ -14,7 +14,7 @@
 
 use crate::protocol::exchange::Dialect;
 use crate::protocol::refusal::{Code, Ran, Reason, Refusal};
-use crate::transport::node::NOT_READY_RETRY;
+use crate::transport::node::NOT_READY_RETRY_AFTER;
 
 /// The body of a response.
 pub(super) type Body = UnsyncBoxBody<Bytes, io::Error>;
@@ -40,7 +40,7 @@
 /// The reason for refusing a request with a key when this host cannot know whether the key is still valid.
 pub(super) fn unconfirmed_keys() -> Reason {
     let message = "the accounts' keys could not be confirmed for too long";
-    Reason::later(Code::PlatformUnavailable, message, NOT_READY_RETRY)
+    Reason::later(Code::PlatformUnavailable, message, NOT_READY_RETRY_AFTER)
 }
 
 /// Returns the host that a request names, without its port; empty if it names none.
--- a/cypressvane/src/transport/host.rs
+++ b/cypressvane/src/transport/host.rs
@@ -27,7 +27,7 @@
 use crate::transport::platform::follow;
 use crate::transport::platform::roster;
 use crate::transport::platform::{HttpRoster, HttpTable};
-use crate::transport::quarantine::keeper;
+use crate::transport::quarantine::storage;
 use crate::transport::rollout;
 use crate::transport::runtime;
 use crate::transport::scheduler::TICK;
@@ -50,7 +50,7 @@
 /// Period of the sweeps of the quarantine.
 const QUARANTINE_SWEEP_PERIOD: Duration = Duration::from_secs(1);
 /// Largest configuration that may be submitted, in bytes; 33,000 accounts take 4.6 MB.
-const MAX_CONFIGURATION_BYTES: u64 = 64 << 20;
+const CONFIGURATION_BYTES_MAX: u64 = 64 << 20;
 /// Most hosts that a log line names on each side of a change; a start of the whole fleet changes all of them.
 const HOSTS_LOGGED_MAX: usize = 8;
 /// Time that the operators' listener gets to finish its answers.
@@ -112,12 +112,12 @@
     dialect: Dialect,
     log: Logger,
 ) -> Result<Handle, Error> {
-    let (nudge, nudges) = async_channel::bounded(1);
-    let (installed, installs) = async_channel::bounded(1);
+    let (wake_config_follower, config_wakeups) = async_channel::bounded(1);
+    let (wake_host_list_follower, host_list_wakeups) = async_channel::bounded(1);
     let (leave, leaving) = async_channel::bounded(1);
     let signals = Signals {
-        nudge,
-        installed,
+        wake_config_follower,
+        wake_host_list_follower,
         leave,
     };
     let node = Arc::new(Node::new(config, services, dialect, signals, log));
@@ -128,7 +128,7 @@
         peers: listeners.peers_public,
     });
     Ok(Handle {
-        _tasks: spawn_tasks(&node, nudges, installs),
+        _tasks: spawn_tasks(&node, config_wakeups, host_list_wakeups),
         node,
         listeners,
         leave: leaving,
@@ -140,7 +140,7 @@
     let addresses = &node.config.listeners;
     let options = options(&node.config);
     let operators_options = Options {
-        max_body_bytes: MAX_CONFIGURATION_BYTES,
+        max_body_bytes: CONFIGURATION_BYTES_MAX,
         ..options.clone()
     };
     let callers = Callers::new(Arc::clone(node));
@@ -182,13 +182,17 @@
 }
 
 /// Starts the background tasks.
-fn spawn_tasks(node: &Arc<Node>, nudges: Receiver<()>, installs: Receiver<()>) -> Vec<Task<()>> {
+fn spawn_tasks(
+    node: &Arc<Node>,
+    config_wakeups: Receiver<()>,
+    host_list_wakeups: Receiver<()>,
+) -> Vec<Task<()>> {
     let periodic = |period, work| runtime::spawn(run_every(period, Arc::clone(node), work));
     vec![
-        runtime::spawn(follow::run(Arc::clone(node), nudges)),
-        runtime::spawn(roster::run(Arc::clone(node), installs)),
+        runtime::spawn(follow::run(Arc::clone(node), config_wakeups)),
+        runtime::spawn(roster::run(Arc::clone(node), host_list_wakeups)),
         runtime::spawn(roster::announce_changes(Arc::clone(node))),
-        runtime::spawn(keeper::run(Arc::clone(node))),
+        runtime::spawn(storage::run(Arc::clone(node))),
         runtime::spawn(rollout::run(Arc::clone(node))),
         periodic(TICK, |node, now| node.scheduler.tick(now)),
         periodic(REFRESH_PERIOD, refresh),
@@ -251,7 +255,7 @@
     }
     node.roster.follow(roster::attention(node));
     node.links.announce_list_read(node.roster.read_here());
-    node.share_budget(now);
+    node.update_budget_share(now);
     node.scheduler.share_limits(now);
 }
 
@@ -322,7 +326,7 @@
     }
 
     /// Waits until an operator asks this host to leave.
-    pub async fn asked_to_leave(&self) {
+    pub async fn drain_ordered(&self) {
         // The node keeps the sender, so the channel does not close while the host runs.
         let _ = self.leave.recv().await;
     }
--- a/cypressvane/src/transport/http/client.rs
+++ b/cypressvane/src/transport/http/client.rs
@@ -13,7 +13,7 @@
 use super::socket::Socket;
 use super::{framing, keepalive};
 use crate::state::clock::Instant;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 
 /// Size of a read of a body, in bytes.
 const READ_BYTES: usize = 16 * 1024;
@@ -101,7 +101,7 @@
     unacknowledged: Duration,
 ) -> Result<Connection, Error> {
     let unreachable = |cause: String| Error::Unreachable { address, cause };
-    let stream = within(limit, TcpStream::connect(address))
+    let stream = timeout(limit, TcpStream::connect(address))
         .await
         .ok_or_else(|| unreachable("no connection in time".to_owned()))?
         .map_err(|error| unreachable(error.to_string()))?;
@@ -126,7 +126,7 @@
         let broken = |cause: String| Error::Broken { address, cause };
         // The library's future is large, so it is boxed and kept only until the head of the answer has arrived.
         let call = Box::pin(async_h1::connect(self.socket, request));
-        let response = within(limit, call)
+        let response = timeout(limit, call)
             .await
             .ok_or(Error::Silent { address })?
             .map_err(|error| broken(error.to_string()))?;
@@ -162,7 +162,7 @@
     let mut buffer = vec![0; READ_BYTES];
     loop {
         let left = end.saturating_duration_since(Instant::now());
-        let read = within(left, response.read(&mut buffer)).await;
+        let read = timeout(left, response.read(&mut buffer)).await;
         let count = read
             .ok_or(Error::Silent { address })?
             .map_err(|error| broken(error.to_string()))?;
--- a/cypressvane/src/transport/http/server/connection.rs
+++ b/cypressvane/src/transport/http/server/connection.rs
@@ -16,7 +16,7 @@
 use crate::transport::http::framing;
 use crate::transport::http::listener::State;
 use crate::transport::http::socket::Socket;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 
 /// Size of a write of an answer, in bytes.
 const WRITE_BYTES: usize = 4 * 1024;
@@ -71,7 +71,7 @@
         let decoded = {
             // The library's future is large, so it is boxed and kept only until the head has arrived.
             let head = Box::pin(decode(self.socket.clone()));
-            within(self.options.head_timeout, head).await
+            timeout(self.options.head_timeout, head).await
         };
         let (request, body) = match decoded {
             Some(Ok(Some(decoded))) => decoded,
@@ -121,7 +121,7 @@
             self.state.stopped().await;
             false
         };
-        let arrives = within(self.options.idle_timeout, readable.or(stopped)).await;
+        let arrives = timeout(self.options.idle_timeout, readable.or(stopped)).await;
         arrives.unwrap_or(false)
     }
 
@@ -165,7 +165,7 @@
                 return self.socket.flush().await;
             }
             let written = self.socket.write_all(&buffer[..count]);
-            within(self.options.write_timeout, written)
+            timeout(self.options.write_timeout, written)
                 .await
                 .ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??;
         }
@@ -183,7 +183,7 @@
                 .is_ok_and(|count| count > 0)
             {}
         };
-        within(LINGER, drain).await;
+        timeout(LINGER, drain).await;
     }
 }
 
--- a/cypressvane/src/transport/http/server/mod.rs
+++ b/cypressvane/src/transport/http/server/mod.rs
@@ -16,7 +16,7 @@
 use crate::state::clock::Instant;
 use crate::transport::http::listener::{self, ConnectionHandler, State};
 use crate::transport::http::socket::Socket;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 
 use connection::Connection;
 
@@ -98,7 +98,7 @@
         let mut buffer = vec![0; READ_BYTES];
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            let read = within(left, self.request.read(&mut buffer)).await;
+            let read = timeout(left, self.request.read(&mut buffer)).await;
             let count = match read {
                 None => return Err(too_slow("body")),
                 Some(Err(error)) => return Err(Reason::new(Code::BadRequest, error.to_string())),
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -25,7 +25,7 @@
 use crate::transport::peers::links::Links;
 use crate::transport::quarantine::Quarantine;
 use crate::transport::rollout::Rollouts;
-use crate::transport::runtime::{lock, within};
+use crate::transport::runtime::{lock, timeout};
 use crate::transport::scheduler::Scheduler;
 
 /// Time without an answer from the configuration's source after which callers are sent elsewhere; longer than a slow
@@ -33,7 +33,7 @@
 const CUT_OFF_AFTER: Duration = Duration::from_secs(2);
 
 /// Retry-after of a request that this host cannot judge yet.
-pub(crate) const NOT_READY_RETRY: Duration = Duration::from_millis(500);
+pub(crate) const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The state that all tasks of a host share.
 pub(crate) struct Node {
@@ -71,10 +71,10 @@
     /// Addresses that are published in the host list, once this host listens.
     pub(crate) listening: OnceLock<Listening>,
     /// When the platform last started to answer again after an outage.
-    platform_back: Mutex<Option<Instant>>,
+    platform_recovered_at: Mutex<Option<Instant>>,
     /// Number of times that the platform came back from an older copy, plus one; 0 before that is known.
-    returns: AtomicU64,
-    draining: AtomicBool,
+    restores: AtomicU64,
+    is_draining: AtomicBool,
 }
 
 /// The listener addresses of a host that are published in the host list.
@@ -87,9 +87,9 @@
 /// Channels that wake other tasks and the process; each holds one signal.
 pub(crate) struct Signals {
     /// Wakes the task that follows the configuration.
-    pub(crate) nudge: Sender<()>,
+    pub(crate) wake_config_follower: Sender<()>,
     /// Wakes the task that follows the host list, since the configuration defines the servers' slots.
-    pub(crate) installed: Sender<()>,
+    pub(crate) wake_host_list_follower: Sender<()>,
     /// Notifies the process that an operator asked this host to leave.
     pub(crate) leave: Sender<()>,
 }
@@ -133,9 +133,9 @@
             source_lost: Mutex::new(None),
             answered_elsewhere: Mutex::new(None),
             listening: OnceLock::new(),
-            platform_back: Mutex::new(None),
-            returns: AtomicU64::new(0),
-            draining: AtomicBool::new(false),
+            platform_recovered_at: Mutex::new(None),
+            restores: AtomicU64::new(0),
+            is_draining: AtomicBool::new(false),
             config,
             log,
         }
@@ -153,16 +153,16 @@
 
     /// Waits until a starting host can serve requests, but no longer than the caller's patience or the start timeout: a
     /// refusal with a retry would cost the caller more than this wait.
-    pub(crate) async fn begun(&self, patience: Option<Duration>) {
+    pub(crate) async fn wait_initialized(&self, patience: Option<Duration>) {
         let start = Timeouts::of(self.config.timeouts.start_ms);
         let limit = patience.map_or(start, |patience| patience.min(start));
         // The channel carries no values; it is closed on initialization, which ends all waits at once.
-        let _ = within(limit, self.initialized.1.recv()).await;
+        let _ = timeout(limit, self.initialized.1.recv()).await;
     }
 
     /// Ends the waits for initialization if it is complete. This is called when a configuration is in force, the host
     /// list has been read, or the quarantine has been loaded.
-    pub(crate) fn note_begun(&self) {
+    pub(crate) fn check_initialized(&self) {
         let knows_all =
             self.active.load().is_some() && self.links.has_roster() && self.quarantine.is_loaded();
         if knows_all {
@@ -187,12 +187,12 @@
     ///
     /// Callers treat `unknown` as final. If another host has reported a newer version, which may have it, the caller is
     /// asked to retry instead, since this host will have that version soon.
-    pub(crate) fn unknown(&self, unknown: Reason) -> Reason {
+    pub(crate) fn unknown_reason(&self, unknown: Reason) -> Reason {
         if !self.is_behind() {
             return unknown;
         }
         let message = "another host has a newer configuration than this one";
-        Reason::later(Code::NotReady, message, NOT_READY_RETRY)
+        Reason::later(Code::NotReady, message, NOT_READY_RETRY_AFTER)
     }
 
     /// Puts a configuration in force unless the one in force is as new or newer; returns whether it did.
@@ -203,10 +203,10 @@
             return false;
         }
         self.active.store(Some(Arc::new(active)));
-        self.note_begun();
+        self.check_initialized();
         self.links.announce_version(version);
         // A full channel means that the task has been woken already.
-        let _ = self.signals.installed.try_send(());
+        let _ = self.signals.wake_host_list_follower.try_send(());
         self.metrics
             .version
             .set(i64::try_from(version).unwrap_or(i64::MAX));
@@ -215,17 +215,17 @@
     }
 
     /// Adds a caller's request for a service to the retry budget.
-    pub(crate) fn count_request(&self, service: &Name, now: Instant) {
+    pub(crate) fn add_to_retry_budget(&self, service: &Name, now: Instant) {
         lock(&self.budget).request(service, &self.retry_bounds(), now);
     }
 
     /// Takes a retry on another server from the service's budget; returns whether the budget had one.
-    pub(crate) fn may_repeat(&self, service: &Name, now: Instant) -> bool {
+    pub(crate) fn take_retry(&self, service: &Name, now: Instant) -> bool {
         lock(&self.budget).take_retry(service, &self.retry_bounds(), now)
     }
 
     /// Sets the number of hosts that share the retry budget, once the host list has been read.
-    pub(crate) fn share_budget(&self, now: Instant) {
+    pub(crate) fn update_budget_share(&self, now: Instant) {
         if self.links.has_roster() {
             let bounds = self.retry_bounds();
             lock(&self.budget).set_host_count(self.links.known_hosts(), &bounds, now);
@@ -249,7 +249,7 @@
     }
 
     /// Records whether the configuration's source answers; returns whether that has changed.
-    pub(crate) fn note_source(&self, answers: bool, now: Instant) -> bool {
+    pub(crate) fn note_source_state(&self, answers: bool, now: Instant) -> bool {
         let mut lost = lock(&self.source_lost);
         let is_news = lost.is_some() == answers;
         if is_news {
@@ -295,30 +295,30 @@
     }
 
     /// Records that the platform answers again after an outage.
-    pub(crate) fn note_platform_back(&self, at: Instant) {
-        let mut back = lock(&self.platform_back);
+    pub(crate) fn note_platform_recovered(&self, at: Instant) {
+        let mut back = lock(&self.platform_recovered_at);
         *back = (*back).max(Some(at));
     }
 
     /// When the platform last started to answer again after an outage.
-    pub(crate) fn platform_back(&self) -> Option<Instant> {
-        *lock(&self.platform_back)
+    pub(crate) fn platform_recovered_at(&self) -> Option<Instant> {
+        *lock(&self.platform_recovered_at)
     }
 
     /// Records how often the platform has come back from an older copy; what hosts last wrote there is lost then, and
     /// is written again.
-    pub(crate) fn note_returns(&self, returns: u64) {
-        let known = returns.saturating_add(1);
-        let before = self.returns.fetch_max(known, Ordering::Relaxed);
+    pub(crate) fn note_restores(&self, restores: u64) {
+        let known = restores.saturating_add(1);
+        let before = self.restores.fetch_max(known, Ordering::Relaxed);
         // The first value only counts what happened before this host started.
         if before == 0 || known <= before {
             return;
         }
         slog::warn!(
             self.log, "the platform came back from an older copy";
-            "returns" => returns, "version" => self.version(),
+            "returns" => restores, "version" => self.version(),
         );
-        self.note_platform_back(Instant::now());
+        self.note_platform_recovered(Instant::now());
         self.quarantine.schedule_rewrite();
         self.rollouts.note_platform_restored();
     }
@@ -342,17 +342,17 @@
     ///
     /// If withdrawn keys must become void within a set time, a host that has not seen the configuration confirmed for
     /// that long cannot know which keys are valid.
-    pub(crate) fn knows_keys(&self, now: Instant) -> bool {
+    pub(crate) fn has_valid_keys(&self, now: Instant) -> bool {
         lock(&self.lease).holds(now)
     }
 
-    pub(crate) fn draining(&self) -> bool {
-        self.draining.load(Ordering::Relaxed)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.is_draining.load(Ordering::Relaxed)
     }
 
     /// Marks this host as leaving, for the load balancer and the peers.
     pub(crate) fn begin_drain(&self) {
-        self.draining.store(true, Ordering::Relaxed);
+        self.is_draining.store(true, Ordering::Relaxed);
         self.links.announce_draining();
     }
 
@@ -376,11 +376,11 @@
     }
 
     /// Whether callers should be sent to this host.
-    pub(crate) fn ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.active.load().is_some()
             && self.links.has_roster()
-            && !self.draining()
-            && self.knows_keys(Instant::now())
+            && !self.is_draining()
+            && self.has_valid_keys(Instant::now())
             && !self.is_cut_off(Instant::now())
     }
 
@@ -395,8 +395,8 @@
             incarnation: self.incarnation,
             program: env!("CARGO_PKG_VERSION").to_owned(),
             up_seconds: self.started.elapsed().as_secs(),
-            ready: self.ready(),
-            draining: self.draining(),
+            ready: self.is_ready(),
+            draining: self.is_draining(),
             configuration: dump::Configuration {
                 version: self.version(),
                 digest: digest.unwrap_or_default(),
--- a/cypressvane/src/transport/operators/mod.rs
+++ b/cypressvane/src/transport/operators/mod.rs
@@ -118,8 +118,8 @@
 
     /// The name of the operator whose key the request carries.
     ///
-    /// The bootstrap key of the settings is valid only while no configuration is in force, and with a configuration from
-    /// another source than the table service, which names no operators.
+    /// The bootstrap key of the settings is valid only while no configuration is in force, and with a configuration
+    /// from another source than the table service, which names no operators.
     fn operator(&self, request: &HttpRequest) -> Option<Name> {
         let key = bearer(request)?;
         let own = self.node.active().filter(|_| self.node.source.is_none());
@@ -136,7 +136,7 @@
     }
 
     fn ready(&self) -> Response {
-        if self.node.ready() {
+        if self.node.is_ready() {
             return answer::text(200, "ready\n");
         }
         answer::text(503, "not ready\n")
@@ -152,8 +152,8 @@
             incarnation: self.node.incarnation,
             version: self.node.version(),
             digest: digest.unwrap_or_default(),
-            ready: self.node.ready(),
-            draining: self.node.draining(),
+            ready: self.node.is_ready(),
+            draining: self.node.is_draining(),
         }
     }
 
--- a/cypressvane/src/transport/peers/links/link.rs
+++ b/cypressvane/src/transport/peers/links/link.rs
@@ -19,7 +19,7 @@
 use crate::state::name::Name;
 use crate::state::platform::Presence;
 use crate::transport::http::client;
-use crate::transport::runtime::{lock, within};
+use crate::transport::runtime::{lock, timeout};
 
 /// Timeout for connecting a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -300,7 +300,7 @@
 async fn next_batch(messages: &Receiver<Message>, heartbeat_at: Instant) -> Vec<Message> {
     let left = heartbeat_at.saturating_duration_since(Instant::now());
     let mut batch = Vec::new();
-    if let Some(Ok(first)) = within(left, messages.recv()).await {
+    if let Some(Ok(first)) = timeout(left, messages.recv()).await {
         batch.push(first);
     }
     while batch.len() < BATCH_MAX
--- a/cypressvane/src/transport/peers/mod.rs
+++ b/cypressvane/src/transport/peers/mod.rs
@@ -72,7 +72,7 @@
                 doubts,
                 rulings,
             } => {
-                self.node.quarantine.compare(from, rulings, now);
+                self.node.quarantine.sync_with(from, rulings, now);
                 self.node.roster.hear_of(&list_read);
                 self.handle_confirmation(version, confirmed);
                 let links = &self.node.links;
@@ -88,7 +88,7 @@
                 }
                 if version > self.node.version() {
                     // A full channel means that the task has been notified already.
-                    let _ = self.node.signals.nudge.try_send(());
+                    let _ = self.node.signals.wake_config_follower.try_send(());
                 }
             }
             Message::Listed { news, back_ms } => self.handle_list_change(from, &news, back_ms, now),
@@ -102,20 +102,20 @@
                 let account = known.and_then(|active| active.index.account_named(&account));
                 self.node
                     .accounts
-                    .answer(from, sequence, account, tokens, now);
+                    .handle_charge(from, sequence, account, tokens, now);
             }
-            Message::Charged { sequence, word } => self.node.accounts.hear(sequence, word),
+            Message::Charged { sequence, word } => self.node.accounts.handle_reply(sequence, word),
             Message::GiveBack { account, tokens } => self.with_account(from, &account, |account| {
-                self.node.accounts.take_back(account, tokens, now);
+                self.node.accounts.handle_give_back(account, tokens, now);
             }),
             Message::Spent { account, tokens } => self.with_account(from, &account, |account| {
-                self.node.accounts.debit(account, tokens, now);
+                self.node.accounts.handle_spent(account, tokens, now);
             }),
-            Message::Ended(ended) => self.node.quarantine.hear_ended(from, ended, now),
+            Message::Ended(ended) => self.node.quarantine.handle_ended(from, ended, now),
             Message::Answered { fingerprint } => {
-                self.node.quarantine.hear_answered(&fingerprint, now);
+                self.node.quarantine.handle_answered(&fingerprint, now);
             }
-            Message::Rulings { rulings } => self.node.quarantine.hear(from, rulings, now),
+            Message::Rulings { rulings } => self.node.quarantine.merge(from, rulings, now),
             Message::Rollout {
                 service,
                 number,
@@ -123,9 +123,9 @@
             } => self
                 .node
                 .rollouts
-                .hear_report(from, incarnation, &service, number, &report, now),
+                .note_report(from, incarnation, &service, number, &report, now),
             Message::RolloutWord(word) => {
-                self.node.rollouts.hear_word(&word, now);
+                self.node.rollouts.handle_instruction(&word, now);
                 roster::follow_rollouts(&self.node);
             }
             other => self.node.scheduler.handle(from, incarnation, other, now),
@@ -161,7 +161,7 @@
     fn handle_list_change(&self, from: &Name, news: &[u8], back_ms: Option<u64>, now: Instant) {
         let back = back_ms.and_then(|ago| now.checked_sub(Duration::from_millis(ago)));
         if let Some(back) = back {
-            self.node.note_platform_back(back);
+            self.node.note_platform_recovered(back);
         }
         if let Err(error) = self.node.roster.hear(news) {
             slog::warn!(
@@ -175,8 +175,8 @@
         let Some(active) = self.node.active() else {
             return self.reject(Reason::new(Code::NotReady, "no configuration is in force"));
         };
-        let packed = smol::unblock(move || active.packed().to_vec()).await;
-        answer::with_body(200, packed)
+        let encoded = smol::unblock(move || active.encoded().to_vec()).await;
+        answer::with_body(200, encoded)
     }
 }
 
--- a/cypressvane/src/transport/platform/fetch.rs
+++ b/cypressvane/src/transport/platform/fetch.rs
@@ -18,7 +18,7 @@
 /// Time that this host's own poll of the platform is given to deliver a version that another host has announced: the
 /// platform notifies all hosts of a change within some milliseconds.
 const OWN_POLL_GRACE: Duration = Duration::from_millis(500);
-/// Most hosts asked in a row. The next nudge starts over with the hosts that have a newer version by then.
+/// Most hosts asked in a row. The next wakeup starts over with the hosts that have a newer version by then.
 const HOSTS_ASKED_MAX: usize = 3;
 /// Timeout for reading the configuration from another host.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -29,10 +29,10 @@
 /// `fetched` after each.
 ///
 /// Otherwise a host that the platform rejects, or whose call gets no answer, would refuse what every other host serves.
-/// Each heartbeat that announces a newer version is a nudge, so a failed round is followed by others.
-pub(super) async fn follow_peers(node: &Node, nudges: &Receiver<()>, fetched: &Sender<()>) {
+/// Each heartbeat that announces a newer version is a wakeup, so a failed round is followed by others.
+pub(super) async fn follow_peers(node: &Node, wakeups: &Receiver<()>, fetched: &Sender<()>) {
     // The node keeps the sender, so the channel does not close while the host runs.
-    while nudges.recv().await.is_ok() {
+    while wakeups.recv().await.is_ok() {
         let announced = node.links.newest_version();
         Timer::after(OWN_POLL_GRACE).await;
         // Versions announced meanwhile get this time of their own.
--- a/cypressvane/src/transport/platform/follow.rs
+++ b/cypressvane/src/transport/platform/follow.rs
@@ -17,7 +17,7 @@
 use crate::state::manifest::{Bundle, HINT_KEY, Manifest, Record, record_key, text_key};
 use crate::transport::active::Active;
 use crate::transport::node::Node;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 
 /// Number of parts up to which a starting host reads the configuration from the table service as soon as it knows that
 /// no other host has a newer version.
@@ -29,10 +29,10 @@
 /// Interval between two rounds of asking them.
 const PEERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows the configuration for as long as the host runs; `nudges` wake the task early.
-pub(crate) async fn run(node: Arc<Node>, nudges: Receiver<()>) {
+/// Follows the configuration for as long as the host runs; `wakeups` wake the task early.
+pub(crate) async fn run(node: Arc<Node>, wakeups: Receiver<()>) {
     if let Some(source) = &node.source {
-        source::follow(&node, source.as_ref(), &nudges).await;
+        source::follow(&node, source.as_ref(), &wakeups).await;
         return;
     }
     loop {
@@ -42,8 +42,8 @@
         }
         // The table service may be unavailable, or a read may be stale.
         fetch::newest(&node).await;
-        // It makes no difference whether a nudge or the timeout ends the wait.
-        let _ = within(node.config.platform.poll(), nudges.recv()).await;
+        // It makes no difference whether a wakeup or the timeout ends the wait.
+        let _ = timeout(node.config.platform.poll(), wakeups.recv()).await;
     }
 }
 
--- a/cypressvane/src/transport/platform/install.rs
+++ b/cypressvane/src/transport/platform/install.rs
@@ -53,7 +53,7 @@
         texts: bundle.texts,
         index: Index::new(fleet),
         policies,
-        packed: OnceLock::new(),
+        encoded: OnceLock::new(),
     })
 }
 
--- a/cypressvane/src/transport/platform/roster.rs
+++ b/cypressvane/src/transport/platform/roster.rs
@@ -15,7 +15,7 @@
 use crate::state::units::millis;
 use crate::transport::node::Node;
 use crate::transport::rollout::pool_of;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 
 /// Longest time that one read of the list waits for a change, so that entries are maintained in between.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
@@ -40,8 +40,8 @@
 /// Slots of a server that names none, if its service is not configured yet.
 const SLOTS_DEFAULT: u32 = 1;
 
-/// Follows the host list for as long as the host runs; `installs` wake the task early.
-pub(crate) async fn run(node: Arc<Node>, installs: Receiver<()>) {
+/// Follows the host list for as long as the host runs; `wakeups` wake the task early.
+pub(crate) async fn run(node: Arc<Node>, wakeups: Receiver<()>) {
     let mut listed: Vec<Entry> = Vec::new();
     let mut last: Vec<Entry> = Vec::new();
     let mut last_tag = None;
@@ -56,7 +56,7 @@
         let read_timeout = retention.next_expiry().map_or(READ_TIMEOUT, |end| {
             READ_TIMEOUT.min(end.saturating_duration_since(Instant::now()))
         });
-        let listing = within(
+        let listing = timeout(
             read_timeout,
             node.roster.list(Some(&region), last_tag.as_deref()),
         )
@@ -84,21 +84,21 @@
                 }
                 is_unavailable = true;
                 pause = pause.max(READ_BACKOFF);
-                let _ = within(pause, installs.recv()).await;
+                let _ = timeout(pause, wakeups.recv()).await;
                 continue;
             }
         }
         if has_recovered(&node, &mut is_unavailable, last_tag.is_some()) {
-            node.note_platform_back(Instant::now());
+            node.note_platform_recovered(Instant::now());
         }
         let returns = Some(node.roster.returns());
         if returns != last_returns {
             // The platform may have lost the entry of this host.
             entered_at = None;
             last_returns = returns;
-            node.note_returns(node.roster.returns());
+            node.note_restores(node.roster.returns());
         }
-        let entries = retention.merge(listed.clone(), node.platform_back(), Instant::now());
+        let entries = retention.merge(listed.clone(), node.platform_recovered_at(), Instant::now());
         let is_read = last_tag.is_some() || !entries.is_empty();
         let changed = is_read && (entries != last || !node.links.has_roster());
         last = entries;
@@ -112,7 +112,7 @@
             maintain_entries(&node, &last, &mut entered_at).await;
         }
         // It makes no difference whether an installed configuration or the timeout ends the wait.
-        let _ = within(pause, installs.recv()).await;
+        let _ = timeout(pause, wakeups.recv()).await;
     }
 }
 
@@ -159,7 +159,7 @@
 async fn maintain_entries(node: &Node, entries: &[Entry], entered_at: &mut Option<Instant>) {
     let is_new = entered_at.is_none_or(|at| at.elapsed() >= REENTER_AFTER);
     if let Some(own_entry) = node.entry()
-        && !node.draining()
+        && !node.is_draining()
         && !entries.contains(&own_entry)
         && is_new
     {
@@ -215,7 +215,7 @@
         if !is_announcer(&node) {
             continue;
         }
-        let back = node.platform_back().map(|back| back.elapsed());
+        let back = node.platform_recovered_at().map(|back| back.elapsed());
         let back = back.filter(|ago| *ago < RETURN_ANNOUNCED_FOR);
         node.links.broadcast(&Message::Listed {
             news,
@@ -233,7 +233,7 @@
 
 /// Updates the pools when requests go to another version of a service, or to other servers of a version on trial.
 pub(crate) fn follow_rollouts(node: &Node) {
-    if node.rollouts.take_moved() && node.links.has_roster() {
+    if node.rollouts.take_changed() && node.links.has_roster() {
         let entries = node.listed.load_full();
         let now = Instant::now();
         node.scheduler.set_specs(specs(node, &entries), now);
@@ -254,10 +254,10 @@
         node.scheduler.forget(&gone, u64::MAX, now);
     }
     let servers = entries.iter().filter(|entry| is_local_server(node, entry));
-    node.rollouts.note_listed(servers);
+    node.rollouts.update_listed(servers);
     node.scheduler.set_specs(specs(node, entries), now);
     node.quarantine.note_listed();
-    node.note_begun();
+    node.check_initialized();
 }
 
 /// The backend servers of this region by pool; each version of a service has a pool of its own. A server whose version
--- a/cypressvane/src/transport/platform/source.rs
+++ b/cypressvane/src/transport/platform/source.rs
@@ -13,7 +13,7 @@
 use crate::state::clock::Instant;
 use crate::state::platform::Source;
 use crate::transport::node::Node;
-use crate::transport::runtime::within;
+use crate::transport::runtime::timeout;
 
 /// The subject by which hosts are ordered to choose those that poll the configuration closely.
 const CONFIGURATION_SUBJECT: &str = "configuration";
@@ -33,11 +33,11 @@
 /// Backoff after the first failed poll.
 const BACKOFF_FIRST: Duration = Duration::from_millis(100);
 
-/// Polls the configuration source of the platform, and fetches from other hosts what the polls do not deliver; `nudges`
-/// signal that another host has a newer version.
-pub(super) async fn follow(node: &Node, source: &dyn Source, nudges: &Receiver<()>) {
+/// Polls the configuration source of the platform, and fetches from other hosts what the polls do not deliver;
+/// `wakeups` signal that another host has a newer version.
+pub(super) async fn follow(node: &Node, source: &dyn Source, wakeups: &Receiver<()>) {
     let (fetched, peer_fetches) = async_channel::bounded(1);
-    let following_peers = fetch::follow_peers(node, nudges, &fetched);
+    let following_peers = fetch::follow_peers(node, wakeups, &fetched);
     poll_loop(node, source, &peer_fetches)
         .or(following_peers)
         .await;
@@ -72,11 +72,11 @@
                 poll(node, source, Duration::ZERO).await
             }
         };
-        let has_changed = node.note_source(polled.is_ok(), Instant::now());
+        let has_changed = node.note_source_state(polled.is_ok(), Instant::now());
         match polled {
             Ok(()) if has_changed => {
                 backoff.reset();
-                node.note_platform_back(Instant::now());
+                node.note_platform_recovered(Instant::now());
                 slog::info!(node.log, "the configuration is followed again"; "version" => node.version());
             }
             Ok(()) => backoff.reset(),
@@ -123,7 +123,7 @@
 async fn abandoned(node: &Node, closely: bool, peer_fetches: &Receiver<()>) -> Outcome {
     let mut was_behind = false;
     loop {
-        if within(RECHECK_INTERVAL, peer_fetches.recv())
+        if timeout(RECHECK_INTERVAL, peer_fetches.recv())
             .await
             .is_some()
         {
@@ -164,11 +164,11 @@
     for fault in look.faults {
         slog::warn!(node.log, "an order of a roll-out cannot be read"; "cause" => fault);
     }
-    node.rollouts.note_orders(&look.orders);
+    node.rollouts.update_orders(&look.orders);
     if let Some((version, fleet)) = look.newer {
         node.install(activate_external(version, fleet).await?);
     }
-    node.note_returns(look.returns);
+    node.note_restores(look.returns);
     if node.is_behind() {
         // Another host has a newer version, which the platform has lost or this poll has missed.
         return Ok(());
--- a/cypressvane/src/transport/quarantine/mod.rs
+++ b/cypressvane/src/transport/quarantine/mod.rs
@@ -5,7 +5,7 @@
 //! rulings, so that a host that starts, was cut off or stood still has them with the first heartbeat. The rulings are
 //! also stored in the table service, so that they survive the loss of all hosts.
 
-pub(crate) mod keeper;
+pub(crate) mod storage;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,7 +33,7 @@
 /// Least time between two transfers of all rulings to the same host.
 const RESYNC_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of characters of a path that operators are shown.
-const MAX_PATH_CHARS: usize = 120;
+const PATH_CHARS_MAX: usize = 120;
 
 /// This host's part of the quarantine.
 pub(crate) struct Quarantine {
@@ -110,7 +110,7 @@
     }
 
     /// Records that a server ended while it ran a request of this host, and broadcasts it to the other hosts.
-    pub(crate) fn ended(&self, metrics: &Metrics, ended: &Ended<'_>, now: Instant) {
+    pub(crate) fn record_end(&self, metrics: &Metrics, ended: &Ended<'_>, now: Instant) {
         metrics.server_ends.inc();
         if self.is_off {
             return;
@@ -126,7 +126,7 @@
             path: ended
                 .path
                 .chars()
-                .take(MAX_PATH_CHARS)
+                .take(PATH_CHARS_MAX)
                 .collect::<String>()
                 .into(),
         };
@@ -147,7 +147,7 @@
     }
 
     /// Records that a server ended while it ran a request of another host.
-    pub(crate) fn hear_ended(&self, from: &Name, message: message::Ended, now: Instant) {
+    pub(crate) fn handle_ended(&self, from: &Name, message: message::Ended, now: Instant) {
         let fingerprint = message.fingerprint;
         let (subject, end) = message.heard(now);
         let outcome = self.update(|known| known.ended(fingerprint, &subject, end, now));
@@ -158,7 +158,7 @@
     }
 
     /// Records that a request was answered completely.
-    pub(crate) fn answered(&self, fingerprint: impl FnOnce() -> Fingerprint, now: Instant) {
+    pub(crate) fn record_answer(&self, fingerprint: impl FnOnce() -> Fingerprint, now: Instant) {
         if self.is_empty.load(Ordering::Relaxed) {
             return;
         }
@@ -174,7 +174,7 @@
     }
 
     /// Records that another host's request was answered completely.
-    pub(crate) fn hear_answered(&self, fingerprint: &Fingerprint, now: Instant) {
+    pub(crate) fn handle_answered(&self, fingerprint: &Fingerprint, now: Instant) {
         // The other host sends a changed ruling in a message of its own.
         self.update(|known| known.clear(fingerprint, now));
     }
@@ -189,7 +189,7 @@
     }
 
     /// Merges rulings from another host or from the table service.
-    pub(crate) fn hear(&self, from: &str, rulings: Vec<message::Ruling>, now: Instant) {
+    pub(crate) fn merge(&self, from: &str, rulings: Vec<message::Ruling>, now: Instant) {
         let mut is_news = false;
         for ruling in rulings {
             let ruling = ruling.heard(now);
@@ -208,7 +208,7 @@
     }
 
     /// Compares another host's digest of the rulings with this host's, and sends that host all rulings if they differ.
-    pub(crate) fn compare(&self, from: &Name, digest: u64, now: Instant) {
+    pub(crate) fn sync_with(&self, from: &Name, digest: u64, now: Instant) {
         let rulings = {
             let known = lock(&self.known);
             if known.digest() == digest {
@@ -290,7 +290,7 @@
     /// Schedules a write if this host is elected to write for all. The host that made a ruling writes it too, but may
     /// be killed first.
     fn schedule_write_if_elected(&self) {
-        if self.links.position_for(keeper::ROW_KEY) == 0 {
+        if self.links.position_for(storage::ROW_KEY) == 0 {
             self.schedule_write();
         }
     }
--- a/cypressvane/src/transport/quarantine/keeper.rs
+++ b/cypressvane/src/transport/quarantine/storage.rs
@@ -21,7 +21,7 @@
 /// Source that is logged for rulings from the row.
 const TABLE_SOURCE: &str = "the table service";
 /// Most rulings in the row, newest first: at most 500 bytes each, of the 64 KB that a row may have.
-const MAX_STORED: usize = 96;
+const STORED_MAX: usize = 96;
 /// Number of hosts that read the row when they start; the others receive the rulings with the first heartbeats. One
 /// call for each start of 295 hosts would be a twelfth of what a start costs.
 const STARTUP_READERS: usize = 8;
@@ -82,7 +82,7 @@
 /// Lets requests be served: the stored rulings are known, or unavailable for now.
 fn mark_loaded(node: &Node) {
     node.quarantine.loaded.store(true, Ordering::Relaxed);
-    node.note_begun();
+    node.check_initialized();
 }
 
 /// Merges the rulings in the row into the known ones; returns the row's revision.
@@ -94,7 +94,7 @@
     let passed = millis(since_epoch()).saturating_sub(stored.written_ms);
     let aged = stored.rulings.into_iter().map(|ruling| ruling.aged(passed));
     node.quarantine
-        .hear(TABLE_SOURCE, aged.collect(), Instant::now());
+        .merge(TABLE_SOURCE, aged.collect(), Instant::now());
     Ok(Some(row.revision))
 }
 
@@ -122,7 +122,7 @@
     let now = Instant::now();
     let mut rulings = lock(&quarantine.known).rulings();
     rulings.sort_by_key(|ruling| std::cmp::Reverse(ruling.since));
-    rulings.truncate(MAX_STORED);
+    rulings.truncate(STORED_MAX);
     Stored {
         written_ms: millis(since_epoch()),
         rulings: rulings
--- a/cypressvane/src/transport/rollout/coordinator.rs
+++ b/cypressvane/src/transport/rollout/coordinator.rs
@@ -37,7 +37,7 @@
         self.rollout.renumber(order);
     }
 
-    pub(super) fn forget_kept(&mut self) {
+    pub(super) fn forget_stored(&mut self) {
         self.rollout.forget_stored();
     }
 
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Handles a host's report and replies to it.
-    pub(crate) fn hear_report(
+    /// Records a host's report and replies to it.
+    pub(crate) fn note_report(
         &self,
         from: &Name,
         incarnation: u64,
@@ -240,7 +240,7 @@
             word,
         };
         if *from == self.me {
-            self.hear_word(&instruction, now);
+            self.handle_instruction(&instruction, now);
         } else {
             self.links.send(from, Message::RolloutWord(instruction));
         }
@@ -292,6 +292,6 @@
         }
         self.links
             .broadcast(&Message::RolloutWord(instruction.clone()));
-        self.hear_word(&instruction, now);
+        self.handle_instruction(&instruction, now);
     }
 }
--- a/cypressvane/src/transport/rollout/known.rs
+++ b/cypressvane/src/transport/rollout/known.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use super::way::Canary;
+use super::pool_choice::Canary;
 use super::{Rollouts, pool_of};
 use crate::coordination::rollout::version::{self, KnownVersions};
 use crate::protocol::message::RolloutWord;
@@ -51,7 +51,7 @@
 
 impl Rollouts {
     /// Updates the versions from the servers in the host list.
-    pub(crate) fn note_listed<'a>(&self, servers: impl Iterator<Item = &'a Entry>) {
+    pub(crate) fn update_listed<'a>(&self, servers: impl Iterator<Item = &'a Entry>) {
         let mut listed: BTreeMap<Name, BTreeMap<Name, usize>> = BTreeMap::new();
         for entry in servers {
             if let (Some(service), Some(version)) = (&entry.service, &entry.version) {
@@ -73,7 +73,7 @@
     }
 
     /// Updates the orders from those that operators have issued.
-    pub(crate) fn note_orders(&self, orders: &[Order]) {
+    pub(crate) fn update_orders(&self, orders: &[Order]) {
         let mut versions = lock(&self.versions);
         for order in orders {
             let known = versions.entry(order.service.clone()).or_default();
@@ -123,7 +123,7 @@
             known.needs_rewrite = known.order.is_some();
         }
         for own in lock(&self.coordinated).values_mut() {
-            own.forget_kept();
+            own.forget_stored();
         }
     }
 
--- a/cypressvane/src/transport/rollout/mod.rs
+++ b/cypressvane/src/transport/rollout/mod.rs
@@ -8,7 +8,7 @@
 
 mod coordinator;
 mod known;
-mod way;
+mod pool_choice;
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,8 +31,8 @@
 use coordinator::Coordinated;
 pub(crate) use coordinator::run;
 use known::Versions;
-use way::Canary;
-pub(crate) use way::{Observed, Way};
+use pool_choice::Canary;
+pub(crate) use pool_choice::{Observed, PoolChoice};
 
 /// Time between two reports of a host on an order; stretched where there are many hosts, as heartbeats are, since one
 /// host receives them all.
@@ -102,15 +102,15 @@
     }
 
     /// Selects the pool for the next request for a service.
-    pub(crate) fn way(&self, service: &Name) -> Way {
+    pub(crate) fn choose_pool(&self, service: &Name) -> PoolChoice {
         match self.routings.load().get(service) {
-            None => Way::to(service.clone()),
-            Some(routing) => Way::choose(&routing.pool.load(), routing.canary.load_full()),
+            None => PoolChoice::to(service.clone()),
+            Some(routing) => PoolChoice::choose(&routing.pool.load(), routing.canary.load_full()),
         }
     }
 
     /// The pool of the version that serves a service's requests.
-    pub(crate) fn pool(&self, service: &Name) -> Name {
+    pub(crate) fn serving_pool(&self, service: &Name) -> Name {
         let routings = self.routings.load();
         let routing = routings.get(service);
         routing.map_or_else(
@@ -120,7 +120,7 @@
     }
 
     /// Whether the servers that may get requests have changed since the last call.
-    pub(crate) fn take_moved(&self) -> bool {
+    pub(crate) fn take_changed(&self) -> bool {
         self.has_changed.swap(false, Ordering::Relaxed)
     }
 
@@ -168,7 +168,7 @@
             if coordinator == self.me {
                 let incarnation = self.incarnation;
                 let me = self.me.clone();
-                self.hear_report(&me, incarnation, service, canary.number, &report, now);
+                self.note_report(&me, incarnation, service, canary.number, &report, now);
                 continue;
             }
             let message = Message::Rollout {
@@ -196,14 +196,14 @@
     }
 
     /// Handles an instruction from an order's coordinator.
-    pub(crate) fn hear_word(&self, instruction: &RolloutWord, now: Instant) {
-        if self.apply_word(instruction, now) {
+    pub(crate) fn handle_instruction(&self, instruction: &RolloutWord, now: Instant) {
+        if self.apply_instruction(instruction, now) {
             self.has_changed.store(true, Ordering::Relaxed);
         }
     }
 
     /// Applies an instruction; returns whether that changes the servers that may get requests.
-    fn apply_word(&self, instruction: &RolloutWord, now: Instant) -> bool {
+    fn apply_instruction(&self, instruction: &RolloutWord, now: Instant) -> bool {
         let mut versions = lock(&self.versions);
         let known = versions.entry(instruction.service.clone()).or_default();
         let is_older = known
@@ -221,7 +221,7 @@
         let Some(canary) = canary.filter(|canary| canary.number == instruction.number) else {
             return false;
         };
-        canary.apply_word(instruction.word, self.report_interval(), now)
+        canary.apply(instruction.word, self.report_interval(), now)
     }
 
     /// The orders, for operators.
--- a/cypressvane/src/transport/rollout/way.rs
+++ b/cypressvane/src/transport/rollout/pool_choice.rs
@@ -16,9 +16,9 @@
 const VALID_REPORTS: u32 = 4;
 /// Most times of the old version in a report for each route: they are samples, since each host sends four reports a
 /// second to one coordinator.
-const MAX_OLD_SAMPLES: usize = 8;
+const OLD_SAMPLES_MAX: usize = 8;
 /// Most times of the new version in a report for each route, and most broken answers of either version.
-const MAX_NEW_SAMPLES: usize = 64;
+const NEW_SAMPLES_MAX: usize = 64;
 
 /// An undecided order, as the request path sees it.
 #[derive(Debug)]
@@ -72,12 +72,7 @@
     }
 
     /// Applies the coordinator's instruction; returns whether that changes the servers that may get requests.
-    pub(super) fn apply_word(
-        &self,
-        word: Instruction,
-        report_interval: Duration,
-        now: Instant,
-    ) -> bool {
+    pub(super) fn apply(&self, word: Instruction, report_interval: Duration, now: Instant) -> bool {
         let permits = match word {
             Instruction::Canary(permits) => permits,
             Instruction::All | Instruction::Nothing | Instruction::Ended(_) => 0,
@@ -117,7 +112,7 @@
 
 /// The pool selected for a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Way {
+pub(crate) struct PoolChoice {
     pub(crate) pool: Name,
     /// The undecided order on the service, if there is one.
     canary: Option<Arc<Canary>>,
@@ -138,7 +133,7 @@
     Broken { server: &'a Name },
 }
 
-impl Way {
+impl PoolChoice {
     /// Selects a pool regardless of any order.
     pub(crate) fn to(pool: Name) -> Self {
         Self {
@@ -173,9 +168,9 @@
         };
         let mut observations = lock(&canary.observations);
         let (tallies, samples) = if self.is_new {
-            (&mut observations.new, MAX_NEW_SAMPLES)
+            (&mut observations.new, NEW_SAMPLES_MAX)
         } else {
-            (&mut observations.old, MAX_OLD_SAMPLES)
+            (&mut observations.old, OLD_SAMPLES_MAX)
         };
         let tally = tallies.entry(route.clone()).or_default();
         match observed {
@@ -191,7 +186,7 @@
             }
             Observed::Failed => tally.failures += 1,
             Observed::Broken { server } => {
-                if tally.broken.len() < MAX_NEW_SAMPLES {
+                if tally.broken.len() < NEW_SAMPLES_MAX {
                     tally.broken.push(server.clone());
                 }
             }
--- a/cypressvane/src/transport/runtime.rs
+++ b/cypressvane/src/transport/runtime.rs
@@ -31,7 +31,7 @@
 }
 
 /// Waits for a future for at most `limit`; `None` on a timeout.
-pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+pub async fn timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let value = async { Some(future.await) };
     let timer = async {
         Timer::after(limit).await;
--- a/cypressvane/src/transport/trace.rs
+++ b/cypressvane/src/transport/trace.rs
@@ -85,17 +85,17 @@
     }
 
     /// Records the charge to the account, which is given back if the request is never sent.
-    pub(crate) fn charged(&mut self, charge: Charge) {
+    pub(crate) fn record_charge(&mut self, charge: Charge) {
         self.charge = Some(charge);
     }
 
     /// Records that the request is sent to a backend server.
-    pub(crate) fn sent(&mut self) {
+    pub(crate) fn record_sent(&mut self) {
         self.charge = None;
     }
 
     /// Records the server that the request is granted.
-    pub(crate) fn granted(&mut self, grant: &Grant) {
+    pub(crate) fn record_grant(&mut self, grant: &Grant) {
         self.server = grant.server.clone();
         self.forecast_ms = Some(millis(grant.first_token));
         let waited = self.arrived.elapsed();
@@ -104,7 +104,7 @@
     }
 
     /// Records that a connection to the server is established.
-    pub(crate) fn connected(&mut self) {
+    pub(crate) fn record_connected(&mut self) {
         self.connected_ms = Some(millis(self.arrived.elapsed()));
     }
 
@@ -114,19 +114,19 @@
     }
 
     /// Records the load of the server that answered.
-    pub(crate) fn loaded(&mut self, load: Option<Load>) {
+    pub(crate) fn record_load(&mut self, load: Option<Load>) {
         self.load = load;
     }
 
     /// Records the arrival of the answer, or of the first event of a stream.
-    pub(crate) fn first_token(&mut self) {
+    pub(crate) fn record_first_token(&mut self) {
         let waited = self.arrived.elapsed();
         self.first_ms.get_or_insert(millis(waited));
         self.times.first_token.observe(waited.as_secs_f64());
     }
 
     /// Records a pause between two parts of a stream.
-    pub(crate) fn gap(&mut self, pause: Duration) {
+    pub(crate) fn record_gap(&mut self, pause: Duration) {
         self.longest_gap = self.longest_gap.max(pause);
         self.times.between_tokens.observe(pause.as_secs_f64());
     }
@@ -137,13 +137,13 @@
     }
 
     /// Records why the request was refused or failed.
-    pub(crate) fn fail(&mut self, reason: &Reason) {
+    pub(crate) fn record_failure(&mut self, reason: &Reason) {
         self.outcome = reason.code.text();
         self.reason = Some(reason.clone());
     }
 
     /// Records how the request ended.
-    pub(crate) fn end(&mut self, outcome: &'static str) {
+    pub(crate) fn record_outcome(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
 }
--- a/cypressvane_standin/src/bin/measure/run.rs
+++ b/cypressvane_standin/src/bin/measure/run.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cypressvane::clock::Instant;
-use cypressvane::runtime::{self, within};
+use cypressvane::runtime::{self, timeout};
 use cypressvane_standin::caller::{Answer, Ask, ask};
 use cypressvane_standin::engine;
 use cypressvane_standin::fleet::Fleet;
@@ -219,7 +219,7 @@
         running.push(runtime::spawn(async move {
             let left = (due + deadline).saturating_duration_since(Instant::now());
             let sent = Instant::now();
-            let answer = within(left, ask(address, &request)).await;
+            let answer = timeout(left, ask(address, &request)).await;
             // The callers of a killed host lose their answers; they are dropped here, since the
             // baselines have no host process to kill.
             let lost = arrival.host == 0 && dead.load(Ordering::Relaxed);
--- a/cypressvaned/src/main.rs
+++ b/cypressvaned/src/main.rs
@@ -125,7 +125,7 @@
             }
         };
         let order = async {
-            host.asked_to_leave().await;
+            host.drain_ordered().await;
             smol::Timer::after(ORDER_ANSWER_DELAY).await;
         };
         signal.or(order).await;
