--- a/cypressvane/src/coordination/admission/returns.rs
+++ b/cypressvane/src/coordination/admission/returns.rs
@@ -11,7 +11,7 @@
 /// Minimum time after which a refused caller is asked to retry: its round trip, plus the time of some tens of grants.
 const RETURN_MIN: Duration = Duration::from_millis(250);
 /// Maximum retry time, as a share of the time for which a caller still waits; the users' callers ignore longer ones.
-const PATIENCE_SHARE: f64 = 0.33;
+const RETURN_MAX_SHARE: f64 = 0.33;
 /// Share of the maximum retry time, at its end, over which retries without a forecast slot are spread: the later they
 /// come, the more likely the load peak has passed.
 const SPREAD_SHARE: f64 = 0.5;
@@ -40,7 +40,7 @@
         let longest = offer
             .answer_deadline
             .saturating_duration_since(now)
-            .mul_f64(PATIENCE_SHARE);
+            .mul_f64(RETURN_MAX_SHARE);
         let earliest = now + RETURN_MIN;
         let after = self.last_booked.map_or(earliest, |last| last.max(earliest));
         let booked = late_rate.wait(1, now).map(|interval| after + interval);
--- a/cypressvane/src/coordination/limit/mod.rs
+++ b/cypressvane/src/coordination/limit/mod.rs
@@ -65,8 +65,8 @@
     /// Returns this share of a limit, rounded up so that it is not zero.
     fn of_limit(self, limit: u32) -> f64 {
         let known = u64::from(self.total.max(1));
-        let heard = u64::from(self.represented).min(known);
-        to_f64((u64::from(limit) * heard).div_ceil(known))
+        let represented = u64::from(self.represented).min(known);
+        to_f64((u64::from(limit) * represented).div_ceil(known))
     }
 
     /// Returns the tolerance with this share of its slack. The slack is not rounded, so all shares add up to no more
--- a/cypressvane/src/coordination/pool/mod.rs
+++ b/cypressvane/src/coordination/pool/mod.rs
@@ -188,8 +188,8 @@
 
     /// Sets this home's share of the servers' limits, from 0 to 1.
     ///
-    /// A home that hears from only some of the hosts leaves the remaining share to another home that may hear from the
-    /// others.
+    /// A home that is connected to only some of the hosts leaves the remaining share to another home that may be
+    /// connected to the others.
     pub fn set_limit_share(&mut self, part: f64, now: Instant) -> Vec<Action> {
         self.servers.set_limit_share(part, now);
         self.grant(now)
--- a/cypressvane/src/coordination/quarantine/mod.rs
+++ b/cypressvane/src/coordination/quarantine/mod.rs
@@ -172,14 +172,14 @@
         self.rulings.release(fingerprint, now)
     }
 
-    /// Merges another host's ruling; returns whether it was news.
+    /// Merges another host's ruling; returns whether it was new.
     pub(crate) fn merge(&mut self, ruling: Ruling, now: Instant) -> bool {
         let fingerprint = ruling.fingerprint;
-        let is_news = self.rulings.merge(ruling, now);
-        if is_news {
+        let is_new = self.rulings.merge(ruling, now);
+        if is_new {
             self.suspects.remove(&fingerprint);
         }
-        is_news
+        is_new
     }
 
     /// Returns all rulings, including those that released a request.
--- a/cypressvane/src/coordination/rollout/evidence.rs
+++ b/cypressvane/src/coordination/rollout/evidence.rs
@@ -47,7 +47,7 @@
 /// Interval within which answers that one server broke off count once. A server that ends breaks off all answers that
 /// run there, which is no more evidence than one of them.
 const BROKEN_INTERVAL: Duration = Duration::from_secs(1);
-/// Whole answers that a version needs before it can be taken as good: a version that fails a fifth of its requests
+/// Whole answers that a version needs before it counts as good: a version that fails a fifth of its requests
 /// gives this many good answers in a row once in 265 times.
 const ANSWERS_MIN: u64 = 25;
 /// Share of the old version's answers from which a route needs answers of its own.
@@ -273,7 +273,7 @@
         lacks.then(|| format!("{answers} answers of {ANSWERS_MIN} at least"))
     }
 
-    /// Returns what is missing before the new version can be taken as good, if anything is.
+    /// Returns what is missing before the new version counts as good, if anything is.
     pub(crate) fn missing(&self) -> Option<String> {
         if let Some(missing) = self.missing_for_all() {
             return Some(missing);
--- a/cypressvane/src/coordination/server/speed.rs
+++ b/cypressvane/src/coordination/server/speed.rs
@@ -12,7 +12,7 @@
 const PRIOR_WEIGHT: f64 = 1.0;
 /// Prompt tokens of the longer prior observation.
 const PRIOR_TOKENS: f64 = 4_000.0;
-/// Slowest and fastest rate that is believed of any server, in prompt tokens per second.
+/// Slowest and fastest rate that is assumed for any server, in prompt tokens per second.
 const RATE_RANGE: (f64, f64) = (50.0, 1_000_000.0);
 /// Largest multiple of its forecast that an observation counts as, so that one answer that was stuck does not
 /// outweigh all others.
@@ -35,7 +35,7 @@
 }
 
 impl Speed {
-    /// Returns the speed that is believed before any observation.
+    /// Returns the speed that is assumed before any observation.
     pub(crate) fn with_prior(rate: f64, overhead: Duration) -> Self {
         let overhead = overhead.as_secs_f64();
         let mut speed = Self {
--- a/cypressvane/src/protocol/headers.rs
+++ b/cypressvane/src/protocol/headers.rs
@@ -72,18 +72,18 @@
 }
 
 impl AnswerMeta {
-    /// Returns whether this is the answer to the request with the id `asked`; true if no id is stated.
+    /// Returns whether this is the answer to the request with the id `request_id`; true if no id is stated.
     #[must_use]
-    pub fn is_answer_to(&self, asked: Option<&str>) -> bool {
+    pub fn is_answer_to(&self, request_id: Option<&str>) -> bool {
         let answered = self.request_id.as_deref();
-        answered.is_none_or(|answered| Some(answered) == asked)
+        answered.is_none_or(|answered| Some(answered) == request_id)
     }
 
-    /// Returns whether the answer comes from the intended server and belongs to the request with the id `asked`, so
-    /// that its metadata applies to that server.
+    /// Returns whether the answer comes from the intended server and belongs to the request with the id `request_id`,
+    /// so that its metadata applies to that server.
     #[must_use]
-    pub fn is_from_intended_server(&self, asked: Option<&str>) -> bool {
-        !self.is_misdirected && self.is_answer_to(asked)
+    pub fn is_from_intended_server(&self, request_id: Option<&str>) -> bool {
+        !self.is_misdirected && self.is_answer_to(request_id)
     }
 }
 
--- a/cypressvane/src/protocol/message_tests.rs
+++ b/cypressvane/src/protocol/message_tests.rs
@@ -98,10 +98,10 @@
         sent: ago(700),
         ended: ago(300),
     };
-    let told = Ended::new(fingerprint(), &subject(), &end, now);
-    assert_eq!(told.into_local(now), (subject(), end));
-    let heard = ruling().aged(1_500).into_local(now);
-    assert_eq!(heard.since, ago(1_500));
+    let ended = Ended::new(fingerprint(), &subject(), &end, now);
+    assert_eq!(ended.into_local(now), (subject(), end));
+    let received = ruling().aged(1_500).into_local(now);
+    assert_eq!(received.since, ago(1_500));
 }
 
 fn grant() -> Message {
--- a/cypressvane/src/state/fleet/check.rs
+++ b/cypressvane/src/state/fleet/check.rs
@@ -91,7 +91,7 @@
         Ok(fleet)
     }
 
-    /// Validates everything except the policy programs, which `policy::Set` compiles.
+    /// Validates everything except the policy programs, which `policy::Programs` compiles.
     ///
     /// # Errors
     /// Reports the first invalid entry, with the value found and the values allowed.
--- a/cypressvane/src/transport/accounts.rs
+++ b/cypressvane/src/transport/accounts.rs
@@ -237,12 +237,18 @@
         tokens: u32,
         now: Instant,
     ) {
-        let word = match account.map(|account| self.charge_locally(account, tokens, now)) {
+        let reply = match account.map(|account| self.charge_locally(account, tokens, now)) {
             Some(Ok(())) => ChargeReply::Within,
             Some(Err(over)) => ChargeReply::Over(over),
             None => ChargeReply::Unknown,
         };
-        self.links.send(from, Message::Charged { sequence, word });
+        self.links.send(
+            from,
+            Message::Charged {
+                sequence,
+                word: reply,
+            },
+        );
     }
 
     /// Handles the reply of an account's home.
@@ -302,9 +308,9 @@
     }
 
     /// Reconnects to homes that have not replied to a charge for long, though its request continued on this host's own
-    /// share, so that the next requests do not wait in vain.
+    /// share, so that the next requests do not wait for a reply that never comes.
     pub(crate) fn reconnect_late(&self, now: Instant) {
-        let mut late = Vec::new();
+        let mut silent_homes = Vec::new();
         for pending in lock(&self.pending).values_mut() {
             if let ChargeState::ChargedLocally {
                 home,
@@ -316,10 +322,10 @@
                 && now.saturating_duration_since(*at) >= EXTRA_HOME_TIMEOUT
             {
                 *is_reconnected = true;
-                late.push(home.clone());
+                silent_homes.push(home.clone());
             }
         }
-        for home in late {
+        for home in silent_homes {
             self.reconnect(&home, now);
         }
     }
--- a/cypressvane/src/transport/backend.rs
+++ b/cypressvane/src/transport/backend.rs
@@ -20,7 +20,7 @@
 use crate::transport::http::keepalive;
 use crate::transport::runtime::{spawn, timeout};
 
-/// Time after which unacknowledged bytes break the connection; as long as a caller's patience with a short call lasts.
+/// Time after which unacknowledged bytes break the connection; as long as a caller waits for a short call.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a server that broke off an answer may take to accept another connection. On a healthy network the server
 /// replies at once, and a missing reply says nothing about the server.
--- a/cypressvane/src/transport/gateway/admission.rs
+++ b/cypressvane/src/transport/gateway/admission.rs
@@ -54,9 +54,9 @@
     arrived: Instant,
 ) -> Result<(Exchange, Request<Waiting>), Response<Body>> {
     let (head, body) = request.into_parts();
-    let ask = node.dialect.read_request(&head.headers);
-    let received = Request::receive_as(ask.id.clone().unwrap_or_else(random_id), arrived);
-    match try_admit(node, received, ask.clone(), head, body).await {
+    let meta = node.dialect.read_request(&head.headers);
+    let received = Request::receive_as(meta.id.clone().unwrap_or_else(random_id), arrived);
+    match try_admit(node, received, meta.clone(), head, body).await {
         Ok(admitted) => Ok(admitted),
         Err(refusal) => {
             slog::info!(
@@ -67,7 +67,7 @@
                 "version" => node.version(),
                 "confirmed_ms_ago" => node.confirmed_ago().map(millis),
             );
-            let id = ask.id.as_deref();
+            let id = meta.id.as_deref();
             Err(respond::refusal(&node.dialect, &refusal, id))
         }
     }
@@ -76,11 +76,11 @@
 async fn try_admit(
     node: &Arc<Node>,
     request: Request<Received>,
-    ask: RequestMeta,
+    meta: RequestMeta,
     head: Parts,
     body: Incoming,
 ) -> Result<(Exchange, Request<Waiting>), Refusal> {
-    node.wait_initialized(ask.timeout).await;
+    node.wait_initialized(meta.timeout).await;
     let Some(active) = node.active() else {
         let message = "this host has no configuration yet";
         return Err(request.refuse(Reason::with_retry_after(
@@ -90,7 +90,7 @@
         )));
     };
     // Takes the current time, not that of arrival: reading the head and waiting for this host to start may take long.
-    let matched = match resolve(node, &active, &head, &ask, Instant::now()) {
+    let matched = match resolve(node, &active, &head, &meta, Instant::now()) {
         Ok(matched) => matched,
         Err(reason) => return Err(request.refuse(reason)),
     };
@@ -101,15 +101,15 @@
     let inbound = InboundRequest {
         head,
         body,
-        caller_id: ask.id.clone(),
+        caller_id: meta.id.clone(),
         account: matched.account.map(|account| account.name.clone()),
-        last_event: ask.last_event,
+        last_event: meta.last_event,
     };
     if let Some(reason) = node.quarantine.refusal(|| inbound.fingerprint()) {
         node.metrics.quarantine_refusals.inc();
         return Err(request.duplicate(reason));
     }
-    let charge = match charge_account(node, matched.account, &ask, &request).await {
+    let charge = match charge_account(node, matched.account, &meta, &request).await {
         Ok(charge) => charge,
         Err(reason) => return Err(request.refuse(reason)),
     };
@@ -122,7 +122,7 @@
         node,
         &active,
         &matched,
-        &ask,
+        &meta,
         &inbound.head,
         request.arrived,
     );
@@ -173,20 +173,20 @@
     node: &Node,
     active: &Active,
     matched: &RouteMatch<'_>,
-    ask: &RequestMeta,
+    meta: &RequestMeta,
     head: &Parts,
     arrived: Instant,
 ) -> Result<RequestSpec, Reason> {
     let timeout = matched.route.timeout();
-    let allowed = ask.timeout.map_or(timeout, |limit| limit.min(timeout));
+    let allowed = meta.timeout.map_or(timeout, |limit| limit.min(timeout));
     let facts = policy::Request {
         account: matched.account_name(),
         tier: matched.tier.name.clone(),
         tier_rank: matched.rank,
         service: matched.service.name.clone(),
         path: head.uri.path().to_owned(),
-        prompt_tokens: ask.usage.map_or(1, |usage| usage.prompt),
-        answer_tokens: ask.usage.map_or(0, |usage| usage.answer),
+        prompt_tokens: meta.usage.map_or(1, |usage| usage.prompt),
+        answer_tokens: meta.usage.map_or(0, |usage| usage.answer),
         deadline_ms: millis(allowed),
         stream: matched.route.method.is_stream(),
     };
@@ -194,7 +194,7 @@
         Verdict::Wait { priority } => priority,
         Verdict::Refuse { why } => return Err(Reason::new(Code::RefusedByPolicy, why)),
     };
-    let mark = mark(ask, &facts.account);
+    let mark = mark(meta, &facts.account);
     Ok(RequestSpec {
         pool: facts.service.clone(),
         service: facts.service,
@@ -206,14 +206,14 @@
         // The home refuses a request earlier if it is not likely to be on time.
         first_token_deadline: arrived
             + stream_silence(node, matched.route).map_or(allowed, |silence| silence.min(allowed)),
-        answer_tokens: answer_tokens(ask),
+        answer_tokens: answer_tokens(meta),
         first_token_target: matched.route.objective(),
         pause: Duration::from_millis(matched.route.gap_ms),
         early: true,
         returning: false,
         avoid: None,
         mark,
-        opening: opening(ask),
+        opening: opening(meta),
     })
 }
 
@@ -226,9 +226,9 @@
 }
 
 /// Estimates the answer's tokens: the caller's hint, capped at the largest number that the caller allows.
-fn answer_tokens(ask: &RequestMeta) -> u32 {
-    let most = ask.usage.map_or(0, |usage| usage.answer);
-    ask.answer_hint.map_or(most, |hint| hint.min(most))
+fn answer_tokens(meta: &RequestMeta) -> u32 {
+    let max = meta.usage.map_or(0, |usage| usage.answer);
+    meta.answer_hint.map_or(max, |hint| hint.min(max))
 }
 
 /// Charges a request to its account's limit; requests on public routes are not charged.
@@ -238,13 +238,13 @@
 async fn charge_account(
     node: &Node,
     account: Option<&Account>,
-    ask: &RequestMeta,
+    meta: &RequestMeta,
     request: &Request<Received>,
 ) -> Result<Option<Charge>, Reason> {
     let Some(account) = account else {
         return Ok(None);
     };
-    let tokens = charged_tokens(ask, account);
+    let tokens = charged_tokens(meta, account);
     let admitted = node.accounts.admit(&request.id, account, tokens).await;
     admitted.map(Some).map_err(|over| over_limit_reason(&over))
 }
@@ -254,7 +254,7 @@
     node: &Node,
     active: &'a Active,
     head: &Parts,
-    ask: &RequestMeta,
+    meta: &RequestMeta,
     now: Instant,
 ) -> Result<RouteMatch<'a>, Reason> {
     let route = active.index.route(host(head), head.uri.path());
@@ -266,11 +266,14 @@
         if !node.has_valid_keys(now) {
             return Err(respond::unconfirmed_keys());
         }
-        let account = ask.key.as_deref().and_then(|key| active.index.account(key));
+        let account = meta
+            .key
+            .as_deref()
+            .and_then(|key| active.index.account(key));
         let message = "the bearer key is missing or unknown";
         Some(account.ok_or_else(|| unknown(Code::Unauthorized, message))?)
     };
-    if ask.id.is_none() {
+    if meta.id.is_none() {
         return Err(Reason::new(Code::BadRequest, "the request has no id"));
     }
     let service = route
@@ -289,13 +292,13 @@
 
 /// Reads the whole body, because the request may be sent more than once.
 async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Reason> {
-    let most = usize::try_from(node.config.limits.body_bytes).unwrap_or(usize::MAX);
+    let bytes_max = usize::try_from(node.config.limits.body_bytes).unwrap_or(usize::MAX);
     let limit = Duration::from_millis(node.config.timeouts.body_ms);
-    let read = timeout(limit, Limited::new(body, most).collect()).await;
+    let read = timeout(limit, Limited::new(body, bytes_max).collect()).await;
     match read {
         Some(Ok(whole)) => Ok(whole.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => {
-            let message = format!("the body is larger than {most} bytes");
+            let message = format!("the body is larger than {bytes_max} bytes");
             Err(Reason::new(Code::BodyTooLarge, message))
         }
         Some(Err(error)) => Err(Reason::new(Code::BadRequest, error.to_string())),
@@ -307,18 +310,18 @@
 }
 
 /// Returns the tokens that a request is charged to its account's limit.
-fn charged_tokens(ask: &RequestMeta, account: &Account) -> u32 {
+fn charged_tokens(meta: &RequestMeta, account: &Account) -> u32 {
     let plain = account.plain_tokens.unwrap_or(1);
-    ask.usage
+    meta.usage
         .map_or(plain, |usage| usage.prompt.saturating_add(usage.answer))
 }
 
 /// Hashes account, prompt and usage, to recognise a request that returns after a refusal: each attempt has its own id.
-fn mark(ask: &RequestMeta, account: &Name) -> Option<u64> {
+fn mark(meta: &RequestMeta, account: &Name) -> Option<u64> {
     let mut hasher = DefaultHasher::new();
     account.hash(&mut hasher);
-    ask.prompt.as_ref()?.hash(&mut hasher);
-    let usage = ask.usage.map(|usage| (usage.prompt, usage.answer));
+    meta.prompt.as_ref()?.hash(&mut hasher);
+    let usage = meta.usage.map(|usage| (usage.prompt, usage.answer));
     usage.hash(&mut hasher);
     Some(hasher.finish())
 }
@@ -341,8 +344,8 @@
 }
 
 /// Hashes the first part of the prompt, to recognise prompts with the same prefix.
-fn opening(ask: &RequestMeta) -> Option<u64> {
-    let (first, _) = ask.prompt.as_ref()?.split_once(',')?;
+fn opening(meta: &RequestMeta) -> Option<u64> {
+    let (first, _) = meta.prompt.as_ref()?.split_once(',')?;
     let mut hasher = DefaultHasher::new();
     first.hash(&mut hasher);
     Some(hasher.finish())
--- a/cypressvane/src/transport/gateway/exchange.rs
+++ b/cypressvane/src/transport/gateway/exchange.rs
@@ -144,12 +144,12 @@
     /// If the last attempt failed with an error response of the server, that response is returned as the answer.
     pub(super) async fn send_until_accepted(
         &mut self,
-        mut turn: PendingRequest,
+        mut pending: PendingRequest,
     ) -> Result<(Request<Dispatched>, Success), Refusal> {
         loop {
             let ready = match self.wait().await {
                 Ok(ready) => ready,
-                Err(reason) => return Err(turn.refuse(reason)),
+                Err(reason) => return Err(pending.refuse(reason)),
             };
             self.attempts += 1;
             self.trace.record_sent();
@@ -159,7 +159,7 @@
                 address: ready.address,
                 at,
             });
-            let request = turn.dispatch(at);
+            let request = pending.dispatch(at);
             let mut failure = match self.send(ready).await {
                 Ok(success) => {
                     self.record_first_token(at);
@@ -171,7 +171,7 @@
             self.record_failure(&failure);
             let error_response = failure.error_response.take();
             match (self.retry_or_fail(request, failure), error_response) {
-                (Ok(next), _) => turn = next,
+                (Ok(next), _) => pending = next,
                 (Err(failed), Some(error_response)) => {
                     let (head, body) = *error_response;
                     return Ok((failed.request, Success::Buffered(head, body)));
--- a/cypressvane/src/transport/gateway/relay.rs
+++ b/cypressvane/src/transport/gateway/relay.rs
@@ -206,9 +206,9 @@
         drop(stream);
         exchange.check_server_ended(&mut failure).await;
         exchange.record_failure(&failure);
-        let turn = exchange.retry_or_fail(request, failure);
-        let turn = turn.map_err(|failed| failed.refusal.reason)?;
-        match exchange.send_until_accepted(turn).await {
+        let pending = exchange.retry_or_fail(request, failure);
+        let pending = pending.map_err(|failed| failed.refusal.reason)?;
+        match exchange.send_until_accepted(pending).await {
             Ok((request, Success::Stream(_, stream))) => Ok(Upstream { request, stream }),
             Ok((_, Success::Buffered(head, _))) => {
                 let message = format!("the stream could not be resumed: {}", head.status);
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -151,11 +151,11 @@
         self.active.load_full()
     }
 
-    /// Waits until a starting host can serve requests, but no longer than the caller's patience or the start timeout: a
+    /// Waits until a starting host can serve requests, but no longer than the caller's timeout or the start timeout: a
     /// refusal with a retry would cost the caller more than this wait.
-    pub(crate) async fn wait_initialized(&self, patience: Option<Duration>) {
+    pub(crate) async fn wait_initialized(&self, caller_timeout: Option<Duration>) {
         let start = Timeouts::duration(self.config.timeouts.start_ms);
-        let limit = patience.map_or(start, |patience| patience.min(start));
+        let limit = caller_timeout.map_or(start, |caller_timeout| caller_timeout.min(start));
         // The channel carries no values; it is closed on initialization, which ends all waits at once.
         let _ = timeout(limit, self.initialized.1.recv()).await;
     }
@@ -163,8 +163,9 @@
     /// Ends the waits for initialization if it is complete. This is called when a configuration is in force, the host
     /// list has been read, or the quarantine has been loaded.
     pub(crate) fn check_initialized(&self) {
-        let knows_all =
-            self.active.load().is_some() && self.links.has_roster() && self.quarantine.is_loaded();
+        let knows_all = self.active.load().is_some()
+            && self.links.has_host_list()
+            && self.quarantine.is_loaded();
         if knows_all {
             self.initialized.0.close();
         }
@@ -226,7 +227,7 @@
 
     /// Sets the number of hosts that share the retry budget, once the host list has been read.
     pub(crate) fn update_budget_share(&self, now: Instant) {
-        if self.links.has_roster() {
+        if self.links.has_host_list() {
             let bounds = self.retry_bounds();
             lock(&self.budget).set_host_count(self.links.known_hosts(), &bounds, now);
         }
@@ -251,12 +252,12 @@
     /// Records whether the configuration's source answers; returns whether that has changed.
     pub(crate) fn note_source_state(&self, answers: bool, now: Instant) -> bool {
         let mut lost = lock(&self.source_lost);
-        let is_news = lost.is_some() == answers;
-        if is_news {
+        let has_changed = lost.is_some() == answers;
+        if has_changed {
             *lost = (!answers).then_some(now);
             self.links.announce_cut_off(!answers);
         }
-        is_news
+        has_changed
     }
 
     /// Records that the configuration's source answered another host at `moment` or later.
@@ -296,8 +297,8 @@
 
     /// Records that the platform answers again after an outage.
     pub(crate) fn note_platform_recovered(&self, at: Instant) {
-        let mut back = lock(&self.platform_recovered_at);
-        *back = (*back).max(Some(at));
+        let mut recovered_at = lock(&self.platform_recovered_at);
+        *recovered_at = (*recovered_at).max(Some(at));
     }
 
     /// When the platform last started to answer again after an outage.
@@ -378,7 +379,7 @@
     /// Whether callers should be sent to this host.
     pub(crate) fn is_ready(&self) -> bool {
         self.active.load().is_some()
-            && self.links.has_roster()
+            && self.links.has_host_list()
             && !self.is_draining()
             && self.has_valid_keys(Instant::now())
             && !self.is_cut_off(Instant::now())
--- a/cypressvane/src/transport/peers/links/mod.rs
+++ b/cypressvane/src/transport/peers/links/mod.rs
@@ -54,7 +54,7 @@
     peers: ArcSwap<HashMap<Name, Arc<Link>>>,
     /// The hosts that may be homes; this one is among them unless it is leaving and others remain.
     candidates: ArcSwap<Candidates>,
-    has_read_roster: AtomicBool,
+    has_read_host_list: AtomicBool,
     /// When the hosts that may be homes were last determined.
     refreshed_at: Mutex<Option<Instant>>,
     version: AtomicU64,
@@ -81,7 +81,7 @@
             suspect_after: Timeouts::duration(timeouts.suspect_ms),
             peers: ArcSwap::default(),
             candidates: ArcSwap::from_pointee(candidates),
-            has_read_roster: AtomicBool::new(false),
+            has_read_host_list: AtomicBool::new(false),
             refreshed_at: Mutex::default(),
             version: AtomicU64::new(0),
             confirmed: ArcSwapOption::empty(),
@@ -99,19 +99,19 @@
     }
 
     /// Whether the host list has been read.
-    pub(crate) fn has_roster(&self) -> bool {
-        self.has_read_roster.load(Ordering::Relaxed)
+    pub(crate) fn has_host_list(&self) -> bool {
+        self.has_read_host_list.load(Ordering::Relaxed)
     }
 
     /// Whether there are other hosts, or may be because the host list has not been read.
     pub(crate) fn expects_peers(&self) -> bool {
-        !self.has_roster() || !self.peers.load().is_empty()
+        !self.has_host_list() || !self.peers.load().is_empty()
     }
 
     /// Whether the host list has been read and a message from every other host has arrived.
     pub(crate) fn has_received_from_all(&self) -> bool {
         let peers = self.peers.load();
-        self.has_roster()
+        self.has_host_list()
             && peers
                 .values()
                 .all(|link| lock(&link.view).last_received.is_some())
@@ -143,7 +143,7 @@
             .cloned()
             .collect();
         self.peers.store(Arc::new(links));
-        self.has_read_roster.store(true, Ordering::Relaxed);
+        self.has_read_host_list.store(true, Ordering::Relaxed);
         gone
     }
 
@@ -348,12 +348,12 @@
     /// This host's share of the limits that all hosts enforce together.
     pub(crate) fn share(&self, now: Instant) -> Share {
         let links = self.peers.load();
-        let heard = links
+        let connected = links
             .values()
             .filter(|link| link.has_received_within(self.suspect_after(), now));
-        let heard = u32::try_from(heard.count() + 1).unwrap_or(u32::MAX);
+        let represented = u32::try_from(connected.count() + 1).unwrap_or(u32::MAX);
         Share {
-            represented: heard,
+            represented,
             total: self.known_hosts(),
         }
     }
@@ -365,13 +365,13 @@
             .values()
             .map(|link| {
                 let view = lock(&link.view).clone();
-                let heard = |at| millis(now.saturating_duration_since(at));
+                let ago_ms = |at| millis(now.saturating_duration_since(at));
                 dump::Peer {
                     name: link.name.clone(),
                     state: link.state(self.suspect_after(), now).to_owned(),
                     incarnation: view.incarnation,
                     version: view.version,
-                    heard_ms_ago: view.last_received.map(heard),
+                    heard_ms_ago: view.last_received.map(ago_ms),
                 }
             })
             .collect();
--- a/cypressvane/src/transport/peers/links/silence_tests.rs
+++ b/cypressvane/src/transport/peers/links/silence_tests.rs
@@ -53,7 +53,8 @@
         suspended_ms: u64,
         /// Time after it resumes, in which nothing arrives.
         silent_ms: u64,
-        heard: u32,
+        /// Number of hosts for which this host gives out limits, itself included.
+        represented: u32,
         removed: usize,
     }
     let cases = [
@@ -61,28 +62,28 @@
             name: "nothing happened",
             suspended_ms: 0,
             silent_ms: 100,
-            heard: 2,
+            represented: 2,
             removed: 0,
         },
         Case {
             name: "the other falls silent",
             suspended_ms: 0,
             silent_ms: SUSPECT_MS,
-            heard: 1,
+            represented: 1,
             removed: 1,
         },
         Case {
             name: "it was suspended",
             suspended_ms: 60_000,
             silent_ms: 0,
-            heard: 2,
+            represented: 2,
             removed: 0,
         },
         Case {
             name: "it was suspended, and the other is silent afterwards too",
             suspended_ms: 60_000,
             silent_ms: SUSPECT_MS,
-            heard: 1,
+            represented: 1,
             removed: 1,
         },
     ];
@@ -100,7 +101,12 @@
         links.discount_suspension(Duration::from_millis(case.suspended_ms), resumed);
         let now = resumed + Duration::from_millis(case.silent_ms);
         links.refresh(now);
-        assert_eq!(links.share(now).represented, case.heard, "{}", case.name);
+        assert_eq!(
+            links.share(now).represented,
+            case.represented,
+            "{}",
+            case.name
+        );
         let removed = links.silent_for(silent, now).len();
         assert_eq!(removed, case.removed, "{}", case.name);
     }
--- a/cypressvane/src/transport/peers/mod.rs
+++ b/cypressvane/src/transport/peers/mod.rs
@@ -104,7 +104,10 @@
                     .accounts
                     .handle_charge(from, sequence, account, tokens, now);
             }
-            Message::Charged { sequence, word } => self.node.accounts.handle_reply(sequence, word),
+            Message::Charged {
+                sequence,
+                word: reply,
+            } => self.node.accounts.handle_reply(sequence, reply),
             Message::GiveBack { account, tokens } => self.with_account(from, &account, |account| {
                 self.node.accounts.handle_give_back(account, tokens, now);
             }),
@@ -124,8 +127,8 @@
                 .node
                 .rollouts
                 .note_report(from, incarnation, &service, number, &report, now),
-            Message::RolloutWord(word) => {
-                self.node.rollouts.handle_instruction(&word, now);
+            Message::RolloutWord(instruction) => {
+                self.node.rollouts.handle_instruction(&instruction, now);
                 host_list::follow_rollouts(&self.node);
             }
             other => self.node.scheduler.handle(from, incarnation, other, now),
@@ -158,12 +161,12 @@
     }
 
     /// Handles a change of the host list that another host has seen.
-    fn handle_list_change(&self, from: &Name, news: &[u8], back_ms: Option<u64>, now: Instant) {
-        let back = back_ms.and_then(|ago| now.checked_sub(Duration::from_millis(ago)));
-        if let Some(back) = back {
-            self.node.note_platform_recovered(back);
+    fn handle_list_change(&self, from: &Name, changes: &[u8], back_ms: Option<u64>, now: Instant) {
+        let recovered_at = back_ms.and_then(|ago| now.checked_sub(Duration::from_millis(ago)));
+        if let Some(recovered_at) = recovered_at {
+            self.node.note_platform_recovered(recovered_at);
         }
-        if let Err(error) = self.node.host_list.apply_from_peer(news) {
+        if let Err(error) = self.node.host_list.apply_from_peer(changes) {
             slog::warn!(
                 self.node.log, "a change of the host list from another host cannot be read";
                 "host" => &**from, "cause" => %error,
--- a/cypressvane/src/transport/platform/host_list.rs
+++ b/cypressvane/src/transport/platform/host_list.rs
@@ -100,11 +100,11 @@
         }
         let entries = retention.merge(listed.clone(), node.platform_recovered_at(), Instant::now());
         let is_read = last_tag.is_some() || !entries.is_empty();
-        let changed = is_read && (entries != last || !node.links.has_roster());
+        let changed = is_read && (entries != last || !node.links.has_host_list());
         last = entries;
         // A new configuration may change the slots of a service.
         let version = node.version();
-        if changed || (version != last_version && node.links.has_roster()) {
+        if changed || (version != last_version && node.links.has_host_list()) {
             apply(&node, &last);
             last_version = version;
         }
@@ -191,10 +191,11 @@
 /// do.
 ///
 /// Before its links are connected, a starting host counts only few hosts and takes itself for a follower. For some
-/// seconds it also finds its position among all hosts in the list, and is patient if it would not be a follower there.
+/// seconds it also finds its position among all hosts in the list, and batches changes if it would not be a follower
+/// there.
 pub(crate) fn follow_mode(node: &Node) -> FollowMode {
     let followers = node.config.platform.list_followers;
-    if followers == 0 || !node.links.has_roster() {
+    if followers == 0 || !node.links.has_host_list() {
         return FollowMode::Immediate;
     }
     if node.links.position_for(LIST_SUBJECT) >= followers {
@@ -221,15 +222,15 @@
 /// Announces the changes of the list that this host sees, for as long as it runs.
 pub(crate) async fn announce_changes(node: Arc<Node>) {
     loop {
-        let news = node.host_list.next_outgoing_changes().await;
+        let changes = node.host_list.next_outgoing_changes().await;
         if !is_announcer(&node) {
             continue;
         }
-        let back = node.platform_recovered_at().map(|back| back.elapsed());
-        let back = back.filter(|ago| *ago < RETURN_ANNOUNCED_FOR);
+        let recovered_ago = node.platform_recovered_at().map(|at| at.elapsed());
+        let recovered_ago = recovered_ago.filter(|ago| *ago < RETURN_ANNOUNCED_FOR);
         node.links.broadcast(&Message::Listed {
-            news,
-            back_ms: back.map(millis),
+            news: changes,
+            back_ms: recovered_ago.map(millis),
         });
     }
 }
@@ -243,7 +244,7 @@
 
 /// Updates the pools when requests go to another version of a service, or to other servers of a version on trial.
 pub(crate) fn follow_rollouts(node: &Node) {
-    if node.rollouts.take_changed() && node.links.has_roster() {
+    if node.rollouts.take_changed() && node.links.has_host_list() {
         let entries = node.listed.load_full();
         let now = Instant::now();
         node.scheduler.set_specs(specs(node, &entries), now);
--- a/cypressvane/src/transport/platform/source.rs
+++ b/cypressvane/src/transport/platform/source.rs
@@ -87,8 +87,8 @@
                         node.log, "the configuration could not be followed"; "cause" => %error
                     );
                 }
-                let for_all = node.links.position_among_known(CONFIGURATION_SUBJECT) < POLLERS;
-                back_off(node, config_store, backoff.next_delay(for_all)).await;
+                let is_poller = node.links.position_among_known(CONFIGURATION_SUBJECT) < POLLERS;
+                back_off(node, config_store, backoff.next_delay(is_poller)).await;
             }
         }
     }
--- a/cypressvane/src/transport/quarantine/mod.rs
+++ b/cypressvane/src/transport/quarantine/mod.rs
@@ -190,11 +190,11 @@
 
     /// Merges rulings from another host or from the table service.
     pub(crate) fn merge(&self, from: &str, rulings: Vec<message::Ruling>, now: Instant) {
-        let mut is_news = false;
+        let mut has_new = false;
         for ruling in rulings {
             let ruling = ruling.into_local(now);
             if self.update(|known| known.merge(ruling.clone(), now)) {
-                is_news = true;
+                has_new = true;
                 if ruling.is_quarantined() {
                     self.log_quarantined(&ruling, Some(from));
                 } else {
@@ -202,7 +202,7 @@
                 }
             }
         }
-        if is_news {
+        if has_new {
             self.schedule_write_if_elected();
         }
     }
@@ -226,8 +226,8 @@
     pub(crate) fn list(&self, now: Instant) -> Vec<dump::Quarantined> {
         let known = lock(&self.known);
         let rulings = known.rulings();
-        let kept = rulings.iter().filter(|ruling| ruling.is_quarantined());
-        let kept = kept.map(|ruling| dump::Quarantined {
+        let quarantined = rulings.iter().filter(|ruling| ruling.is_quarantined());
+        let quarantined = quarantined.map(|ruling| dump::Quarantined {
             fingerprint: ruling.fingerprint.to_string(),
             account: ruling.subject.account.clone(),
             path: ruling.subject.path.clone(),
@@ -245,7 +245,7 @@
                 servers: suspect.servers(),
                 since_ms: suspect.last_end().map_or(0, |last| millis_since(last, now)),
             });
-        kept.chain(suspects).collect()
+        quarantined.chain(suspects).collect()
     }
 
     /// Drops expired entries and updates the metric.
--- a/cypressvane/src/transport/quarantine/storage.rs
+++ b/cypressvane/src/transport/quarantine/storage.rs
@@ -47,7 +47,7 @@
     Row(#[from] serde_json::Error),
 }
 
-/// Reads the row if this host is one of the startup readers, and then writes it each time there is news.
+/// Reads the row if this host is one of the startup readers, and then writes it each time a write is requested.
 pub(crate) async fn run(node: Arc<Node>) {
     // The channel carries no values; it is closed once the host list has been read.
     let _ = node.quarantine.host_list_read.1.recv().await;
--- a/cypressvane/src/transport/rollout/coordinator.rs
+++ b/cypressvane/src/transport/rollout/coordinator.rs
@@ -71,8 +71,8 @@
 async fn step(node: &Node, config_store: &dyn ConfigStore, order: &Order) -> Result<(), Error> {
     let rollouts = &node.rollouts;
     if !rollouts.coordinates(order) {
-        let kept = config_store.load_rollout(&order.service).await?;
-        rollouts.open(config_store, order, kept.as_ref());
+        let stored = config_store.load_rollout(&order.service).await?;
+        rollouts.open(config_store, order, stored.as_ref());
     }
     let now = Instant::now();
     rollouts.send_changes(&order.service, now);
@@ -93,16 +93,19 @@
     order: &Order,
     progress: &Progress,
 ) -> Result<(), Error> {
-    let kept = config_store.load_rollout(&order.service).await?;
-    let own = kept.as_ref().filter(|kept| order.matches(&kept.progress));
-    if let Some(own) = own
-        && (own.progress.stage != Stage::InProgress || own.progress.allotted > progress.allotted)
+    let stored = config_store.load_rollout(&order.service).await?;
+    let matching = stored
+        .as_ref()
+        .filter(|stored| order.matches(&stored.progress));
+    if let Some(matching) = matching
+        && (matching.progress.stage != Stage::InProgress
+            || matching.progress.allotted > progress.allotted)
     {
         // This includes an earlier write by this host that took effect although its reply was lost.
-        node.rollouts.adopt(&order.service, &own.progress);
+        node.rollouts.adopt(&order.service, &matching.progress);
         return Ok(());
     }
-    let expect = kept.map_or(Expect::Absent, |kept| Expect::Revision(kept.revision));
+    let expect = stored.map_or(Expect::Absent, |stored| Expect::Revision(stored.revision));
     if config_store
         .store_rollout(&order.service, progress, expect)
         .await?
@@ -139,18 +142,18 @@
     }
 
     /// Starts to coordinate an order from its stored progress.
-    fn open(&self, config_store: &dyn ConfigStore, order: &Order, kept: Option<&StoredRollout>) {
+    fn open(&self, config_store: &dyn ConfigStore, order: &Order, stored: Option<&StoredRollout>) {
         let now = Instant::now();
-        let kept = kept.map(|kept| &kept.progress);
-        let own = kept.filter(|kept| order.matches(kept));
-        let due = match own {
-            Some(own) => config_store.to_local_time(own.due_ms),
+        let stored = stored.map(|stored| &stored.progress);
+        let matching = stored.filter(|stored| order.matches(stored));
+        let due = match matching {
+            Some(matching) => config_store.to_local_time(matching.due_ms),
             None => config_store
                 .to_local_time(order.seen_ms)
                 .map(|seen| seen + order.duration),
         };
         let due = due.unwrap_or(now + order.duration);
-        let mut rollout = Rollout::open(order.clone(), self.bounds, due, own);
+        let mut rollout = Rollout::open(order.clone(), self.bounds, due, matching);
         if self.serves(&order.service, &order.to) {
             rollout.end(Stage::Completed, "the version serves already");
         }
@@ -222,13 +225,13 @@
         report: &Report,
         now: Instant,
     ) {
-        let word = {
+        let reply = {
             let mut coordinated = lock(&self.coordinated);
             let own = coordinated.get_mut(service);
             own.filter(|own| own.number() == number)
                 .map(|own| own.rollout.handle_report(from, incarnation, report, now))
         };
-        let Some(word) = word.or_else(|| self.known_end(service, number)) else {
+        let Some(reply) = reply.or_else(|| self.known_end(service, number)) else {
             return;
         };
         self.send_changes(service, now);
@@ -239,7 +242,7 @@
             service: service.clone(),
             number,
             to,
-            word,
+            word: reply,
         };
         if *from == self.me {
             self.handle_instruction(&instruction, now);
@@ -270,11 +273,11 @@
             let Some(own) = coordinated.get_mut(service) else {
                 return;
             };
-            let word = own.rollout.instruction();
-            if own.last_sent == Some(word) {
+            let current = own.rollout.instruction();
+            if own.last_sent == Some(current) {
                 return;
             }
-            own.last_sent = Some(word);
+            own.last_sent = Some(current);
             let summary = own.rollout.summary();
             slog::info!(
                 self.log, "a roll-out goes on";
@@ -286,7 +289,7 @@
                 service: service.clone(),
                 number: own.number(),
                 to: own.rollout.order().to.clone(),
-                word,
+                word: current,
             }
         };
         if matches!(instruction.word, Instruction::Canary(_)) {
--- a/cypressvane/src/transport/rollout/known.rs
+++ b/cypressvane/src/transport/rollout/known.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Records how an order ended; returns whether that is news.
+    /// Records how an order ended; returns whether that was unknown here.
     pub(super) fn note_end(
         &self,
         known: &mut Versions,
--- a/cypressvane/src/transport/scheduler/homes.rs
+++ b/cypressvane/src/transport/scheduler/homes.rs
@@ -187,15 +187,15 @@
             let all = specs.values().flatten();
             all.map(|spec| spec.name.clone()).collect()
         };
-        let there = names(specs);
+        let listed = names(specs);
         let mut departed = lock(&self.departed);
         for name in names(before) {
-            if !there.contains(&name) {
+            if !listed.contains(&name) {
                 departed.insert(name, now);
             }
         }
         departed.retain(|name, missed| {
-            !there.contains(name) && now.saturating_duration_since(*missed) < DEPARTED_TTL
+            !listed.contains(name) && now.saturating_duration_since(*missed) < DEPARTED_TTL
         });
     }
 
--- a/cypressvane/src/transport/scheduler/limits.rs
+++ b/cypressvane/src/transport/scheduler/limits.rs
@@ -217,10 +217,10 @@
     from: &Name,
     ticket: impl Fn(u64) -> Ticket,
     server: &Name,
-    heard: message::LimitReport,
+    report: message::LimitReport,
     now: Instant,
 ) -> Vec<Action> {
-    match heard {
+    match report {
         message::LimitReport::Now {
             sequence,
             per_second,
--- a/cypressvane/tests/exchange.rs
+++ b/cypressvane/tests/exchange.rs
@@ -129,21 +129,21 @@
 #[test]
 fn headers_are_parsed_and_malformed_ones_ignored() {
     let dialect = Dialect::native();
-    let ask = dialect.read_request(&headers(&[
+    let meta = dialect.read_request(&headers(&[
         ("x-request-id", "a"),
         ("cypressvane-deadline-ms", "1500"),
         ("authorization", "bearer  key "),
         ("cypressvane-usage", "10, 5"),
         ("last-event-id", "12"),
     ]));
-    assert_eq!(ask.id.as_deref(), Some("a"));
-    assert_eq!(ask.timeout, Some(Duration::from_millis(1_500)));
-    assert_eq!(ask.key.as_deref(), Some("key"));
+    assert_eq!(meta.id.as_deref(), Some("a"));
+    assert_eq!(meta.timeout, Some(Duration::from_millis(1_500)));
+    assert_eq!(meta.key.as_deref(), Some("key"));
     let usage = Usage {
         prompt: 10,
         answer: 5,
     };
-    assert_eq!((ask.usage, ask.last_event), (Some(usage), Some(12)));
+    assert_eq!((meta.usage, meta.last_event), (Some(usage), Some(12)));
     let malformed = dialect.read_request(&headers(&[
         ("x-request-id", "a"),
         ("x-request-id", "b"),
--- a/cypressvane/tests/limit.rs
+++ b/cypressvane/tests/limit.rs
@@ -255,7 +255,7 @@
 enum Step {
     /// A request of so many tokens arrives; `true` if it is admitted.
     Spend(u32, bool),
-    /// Another host reports the tokens that it handed out of its own share.
+    /// Another host reports the tokens that it gave out from its own share.
     Debit(u32),
     /// The set of hosts that may be homes changes; `true` if the account's home moves.
     Rehome(bool),
@@ -383,7 +383,7 @@
                 .iter()
                 .filter(|(at, _)| now.duration_since(*at) < tolerance.window);
             let in_window: u32 = recent.map(|(_, tokens)| tokens).sum();
-            // The bucket hands out only a part of the tolerance; the rest covers the request that overdraws it.
+            // The bucket gives out only a part of the tolerance; the rest covers the request that overdraws it.
             f64::from(in_window) <= limit
         })
     }
--- a/cypressvane/tests/limit_shares.rs
+++ b/cypressvane/tests/limit_shares.rs
@@ -1,4 +1,4 @@
-//! The shares of an account limit that hosts hand out on their own.
+//! The shares of an account limit that hosts give out on their own.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use cypressvane::limit::{Ledger, Share, Tolerance};
 
 #[test]
-fn hosts_that_each_hand_out_their_own_share_keep_the_limit_together() {
-    // Guards against each host handing out the whole slack instead of its share. After all of 295 hosts were killed, an
+fn hosts_that_each_give_out_their_own_share_keep_the_limit_together() {
+    // Guards against each host giving out the whole slack instead of its share. After all of 295 hosts were killed, an
     // account got 1.4% more than its limit in a window: homes answer late after a start, and each host without an
-    // answer hands out its own share, which was a part of the rate and the burst, but all of the slack. The sum of the
+    // answer gives out its own share, which was a part of the rate and the burst, but all of the slack. The sum of the
     // shares below was 7.5 times the limit.
     const RATE: u32 = 300_000;
     const SLACK: u32 = 140_000;
--- a/cypressvane/tests/pool/early.rs
+++ b/cypressvane/tests/pool/early.rs
@@ -8,7 +8,7 @@
 use crate::common::{granted, grants_and_refusals, impatient_offer, spec, ticket};
 
 const OBJECTIVE: Duration = Duration::from_millis(800);
-const PATIENCE: Duration = Duration::from_secs(15);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn pool(slots: u32, now: Instant) -> Pool {
     let defaults = EngineDefaults {
@@ -64,7 +64,7 @@
     assert!(pool.waiting() >= 2);
     for (sequence, wait) in &refused {
         assert!(*wait >= Duration::from_millis(250), "{sequence}: {wait:?}");
-        assert!(*wait <= PATIENCE / 3, "{sequence}: {wait:?}");
+        assert!(*wait <= CALLER_TIMEOUT / 3, "{sequence}: {wait:?}");
     }
     let spread = refused.iter().map(|(_, wait)| wait.as_millis() / 500);
     let different: std::collections::HashSet<u128> = spread.collect();
--- a/cypressvane/tests/pool/limited_load.rs
+++ b/cypressvane/tests/pool/limited_load.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn two_homes_that_hear_from_half_of_the_hosts_each_keep_the_limit_together() {
+fn two_homes_that_are_each_connected_to_half_of_the_hosts_keep_the_limit_together() {
     let mut now = Instant::now();
     let mut homes = [pool(1, now), pool(1, now)];
     let report = ReportedLimit {
--- a/cypressvane/tests/pool/limits.rs
+++ b/cypressvane/tests/pool/limits.rs
@@ -32,7 +32,7 @@
     ChangeAddress,
     /// The server is added to the host list.
     AddServer,
-    /// The home hears from this fraction of the hosts.
+    /// The home is connected to this fraction of the hosts.
     SetPart(f64),
     /// Exactly these requests have been granted up to now.
     ExpectGranted(&'static [u64]),
--- a/cypressvaned/tests/quarantine.rs
+++ b/cypressvaned/tests/quarantine.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 
 /// Number of engines that end during the request until it is quarantined.
-const MAX_ENDS: usize = 3;
+const ENDS_MAX: usize = 3;
 /// Number of hosts; the request is sent to each in turn.
 const HOSTS: usize = 2;
 const MODEL: &str = "register-model";
@@ -70,7 +70,7 @@
             }
             fleet.submit(0, common::CONFIGURATION).await?;
             fleet.wait_until_linked().await?;
-            for attempt in 0..MAX_ENDS {
+            for attempt in 0..ENDS_MAX {
                 fleet.add_engine(MODEL, &settings).await?;
                 let answer = complete_and_kill(&mut fleet, attempt % HOSTS, &fatal).await?;
                 assert!(!answer.whole, "{}: attempt {attempt}", case.name);
