--- a/cypressvane/src/coordination/admission/mod.rs
+++ b/cypressvane/src/coordination/admission/mod.rs
@@ -1,6 +1,6 @@
 //! Admission control for early-refusal requests, which are worth little when they are late.
 //!
-//! Such a request waits while its first token is forecast to arrive on time. Otherwise it is late: it gets an idle
+//! Such a request waits while its first token is forecast to arrive on time. Otherwise it is late: it gets a free
 //! slot, or is refused at once. A request that is retried after a refusal is late from the start, so it waits behind
 //! all on-time requests.
 
@@ -22,7 +22,7 @@
 /// Time over which grants to on-time offers are averaged: long compared with the time between grants, short compared
 /// with a load peak.
 const ON_TIME_SPAN: Duration = Duration::from_secs(1);
-/// Time over which grants to late offers are averaged: longer than a load peak, after which slots are idle again.
+/// Time over which grants to late offers are averaged: longer than a load peak, after which slots are free again.
 const LATE_SPAN: Duration = Duration::from_secs(4);
 /// Time between a grant and its first token that the servers' own times do not include: the grant message, the
 /// connection to the server, and the first token's transfer.
@@ -36,7 +36,7 @@
 pub(crate) struct Admission {
     /// Grants to on-time offers.
     on_time_rate: GrantRate,
-    /// Grants to late offers, which get idle slots.
+    /// Grants to late offers, which get free slots.
     late_rate: GrantRate,
     returns: Returns,
     /// Running time of each kind of request, in seconds.
@@ -65,13 +65,14 @@
 
     /// Latest time for granting a late offer that still leaves time for its whole answer.
     pub(crate) fn latest_late_grant(&self, offer: &Offer, fastest: Option<Duration>) -> Instant {
-        let runs = self
+        let run_time = self
             .run_times
             .get(&Kind::of(offer))
             .and_then(Estimate::mean);
-        let runs = Duration::from_secs_f64(runs.unwrap_or_default().max(0.0));
+        let run_time = Duration::from_secs_f64(run_time.unwrap_or_default().max(0.0));
         let first = fastest.unwrap_or_default() + DISPATCH_OVERHEAD;
-        before(offer.first_token_deadline, first).min(before(offer.answer_deadline, first + runs))
+        before(offer.first_token_deadline, first)
+            .min(before(offer.answer_deadline, first + run_time))
     }
 
     /// Whether an on-time offer with `ahead` others before it is likely to be granted by `until`.
@@ -91,9 +92,9 @@
         wait.is_none_or(|wait| now + wait <= until)
     }
 
-    /// Whether a late offer with `ahead` others before it may wait for an idle slot until `until`.
+    /// Whether a late offer with `ahead` others before it may wait for a free slot until `until`.
     ///
-    /// The first one may, so that an idle slot is used at once. Another one may if it is returning, since its caller
+    /// The first one may, so that a free slot is used at once. Another one may if it is returning, since its caller
     /// would not retry again, and if it is likely to be granted by `until`.
     pub(crate) fn may_wait_late(
         &self,
--- a/cypressvane/src/coordination/admission/returns.rs
+++ b/cypressvane/src/coordination/admission/returns.rs
@@ -12,7 +12,7 @@
 const RETURN_MIN: Duration = Duration::from_millis(250);
 /// Maximum retry time, as a share of the time for which a caller still waits; the users' callers ignore longer ones.
 const RETURN_MAX_SHARE: f64 = 0.33;
-/// Share of the maximum retry time, at its end, over which retries without a forecast slot are spread: the later they
+/// Share of the maximum retry time, at its end, over which retries that cannot be booked are spread: the later they
 /// come, the more likely the load peak has passed.
 const SPREAD_SHARE: f64 = 0.5;
 /// How long a refused request is remembered: longer than any retry time given.
@@ -32,7 +32,7 @@
 impl Returns {
     /// Remembers a refused request and returns the time after which its caller should retry.
     ///
-    /// Retries are booked at the rate at which late offers were recently granted, so that each finds an idle slot and
+    /// Retries are booked at the rate at which late offers were recently granted, so that each finds a free slot and
     /// they do not all arrive at once. A retry that would be booked too late, or for which no rate is known, is instead
     /// spread over the end of the longest retry time.
     pub(crate) fn book(&mut self, offer: &Offer, late_rate: &GrantRate, now: Instant) -> Duration {
--- a/cypressvane/src/coordination/dump.rs
+++ b/cypressvane/src/coordination/dump.rs
@@ -66,7 +66,7 @@
 pub struct Limit {
     /// Requests per second, from all hosts together.
     pub per_second: f64,
-    /// Milliseconds since the server first had a limit, whatever its value.
+    /// Milliseconds since the home first knew of a limit of the server, whatever its value.
     pub since_ms: u64,
     /// The host that received this value.
     pub heard_by: Name,
--- a/cypressvane/src/coordination/limit/mod.rs
+++ b/cypressvane/src/coordination/limit/mod.rs
@@ -20,7 +20,7 @@
 
 pub use crate::coordination::limit::bucket::Tolerance;
 
-/// Time after which the buckets of an idle account are dropped; they are taken to be full again by then.
+/// Time after which the buckets of an idle account are dropped; they are assumed to be full again by then.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Level that the bucket for tokens per second needs to let a request pass: any above zero.
 const TOKENS_FLOOR: f64 = f64::MIN_POSITIVE;
@@ -36,17 +36,17 @@
     InFlight,
 }
 
-/// The share of the limits of all hosts that a host may give out.
+/// The share of the accounts' limits that a host may give out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Number of hosts for which this host gives out, itself included.
+    /// Number of hosts whose shares this host gives out, its own included.
     pub represented: u32,
-    /// Number of all hosts that may give out.
+    /// Number of all hosts that have a share.
     pub total: u32,
 }
 
 impl Share {
-    /// Returns the share of a host that gives out only for itself.
+    /// Returns the share of a host that gives out only its own share.
     #[must_use]
     pub fn own(self) -> Self {
         Self {
@@ -58,15 +58,15 @@
     /// Returns the share as a fraction from 0 to 1.
     #[must_use]
     pub fn part(self) -> f64 {
-        let known = self.total.max(1);
-        f64::from(self.represented.min(known)) / f64::from(known)
+        let total = self.total.max(1);
+        f64::from(self.represented.min(total)) / f64::from(total)
     }
 
     /// Returns this share of a limit, rounded up so that it is not zero.
     fn of_limit(self, limit: u32) -> f64 {
-        let known = u64::from(self.total.max(1));
-        let represented = u64::from(self.represented).min(known);
-        to_f64((u64::from(limit) * represented).div_ceil(known))
+        let total = u64::from(self.total.max(1));
+        let represented = u64::from(self.represented).min(total);
+        to_f64((u64::from(limit) * represented).div_ceil(total))
     }
 
     /// Returns the tolerance with this share of its slack. The slack is not rounded, so all shares add up to no more
--- a/cypressvane/src/coordination/pool/mod.rs
+++ b/cypressvane/src/coordination/pool/mod.rs
@@ -167,11 +167,11 @@
         named: Option<f64>,
         now: Instant,
     ) -> Vec<Action> {
-        // The send time is unknown for a request that another home granted.
+        // The time of the grant is unknown for a request that another home granted.
         let own = self.granted.get(ticket).filter(|own| own.kind.is_some());
-        let sent = own.filter(|own| own.server == *server).map(|own| own.at);
+        let granted_at = own.filter(|own| own.server == *server).map(|own| own.at);
         self.servers
-            .apply_limit(server, named, sent, &ticket.holder, now);
+            .apply_limit(server, named, granted_at, &ticket.holder, now);
         self.grant(now)
     }
 
@@ -190,8 +190,8 @@
     ///
     /// A home that is connected to only some of the hosts leaves the remaining share to another home that may be
     /// connected to the others.
-    pub fn set_limit_share(&mut self, part: f64, now: Instant) -> Vec<Action> {
-        self.servers.set_limit_share(part, now);
+    pub fn set_limit_share(&mut self, share: f64, now: Instant) -> Vec<Action> {
+        self.servers.set_limit_share(share, now);
         self.grant(now)
     }
 
--- a/cypressvane/src/coordination/quarantine_tests.rs
+++ b/cypressvane/src/coordination/quarantine_tests.rs
@@ -15,7 +15,7 @@
     ends: Some(3),
     retention: Duration::from_secs(600),
 };
-/// Timeline from when a request is sent to the end of its server.
+/// Time from when a request is sent to the end of its server.
 const RUN: Duration = Duration::from_millis(50);
 
 fn request(body: &str) -> Fingerprint {
--- a/cypressvane/src/coordination/queue.rs
+++ b/cypressvane/src/coordination/queue.rs
@@ -57,13 +57,13 @@
         self.keys.insert(offer.ticket.clone(), key);
         self.expiries.insert((expiry, key));
         self.by_rank.insert((offer.rank, key));
-        self.lane_mut(key.is_late)
+        self.entries_mut(key.is_late)
             .insert(key, Entry { offer, expiry });
     }
 
     /// Removes an offer from all indexes.
     fn take(&mut self, key: Key) -> Option<Offer> {
-        let Entry { offer, expiry } = self.lane_mut(key.is_late).remove(&key)?;
+        let Entry { offer, expiry } = self.entries_mut(key.is_late).remove(&key)?;
         self.keys.remove(&offer.ticket);
         self.expiries.remove(&(expiry, key));
         self.by_rank.remove(&(offer.rank, key));
@@ -73,7 +73,7 @@
         Some(offer)
     }
 
-    fn lane_mut(&mut self, late: bool) -> &mut BTreeMap<Key, Entry> {
+    fn entries_mut(&mut self, late: bool) -> &mut BTreeMap<Key, Entry> {
         if late {
             &mut self.late
         } else {
@@ -81,7 +81,7 @@
         }
     }
 
-    fn lane(&self, late: bool) -> &BTreeMap<Key, Entry> {
+    fn entries(&self, late: bool) -> &BTreeMap<Key, Entry> {
         if late { &self.late } else { &self.on_time }
     }
 
@@ -108,19 +108,19 @@
 
     /// The last late or on-time offer, and its expiry.
     pub(crate) fn last(&self, late: bool) -> Option<(&Offer, Instant)> {
-        let (_, entry) = self.lane(late).last_key_value()?;
+        let (_, entry) = self.entries(late).last_key_value()?;
         Some((&entry.offer, entry.expiry))
     }
 
     /// Number of late or on-time offers.
     pub(crate) fn count(&self, late: bool) -> usize {
-        self.lane(late).len()
+        self.entries(late).len()
     }
 
     /// Number of offers that would be ahead of this one: on-time ones if it is on time, late ones if it is late.
     pub(crate) fn ahead_of(&self, offer: &Offer) -> usize {
         let key = key_of(offer, u64::MAX);
-        self.lane(offer.late).range(..key).count()
+        self.entries(offer.late).range(..key).count()
     }
 
     /// Removes the offer of a ticket.
--- a/cypressvane/src/coordination/rollout/evidence.rs
+++ b/cypressvane/src/coordination/rollout/evidence.rs
@@ -13,8 +13,8 @@
 use crate::state::name::Name;
 use crate::state::units::to_f64;
 
-/// Difference that the test looks for, between the share of a bad version's answers that are bad and that of the old
-/// version's.
+/// Difference that the test is to detect, between the share of a bad version's answers that are bad and that of the
+/// old version's.
 const BAD_RATE_INCREASE: f64 = 0.2;
 /// Sum at which a version counts as bad. A good version reaches it at most once in e^10, or 22,000, answers. A bad
 /// version reaches it after about 14 answers if every second one fails, and after about 30 if every third one fails.
--- a/cypressvane/src/coordination/rollout/mod.rs
+++ b/cypressvane/src/coordination/rollout/mod.rs
@@ -85,7 +85,7 @@
     requests: HashMap<(Name, u64), Sent>,
     /// Requests that hosts had reported when all requests began to go to the new version.
     before_all: Option<u64>,
-    /// Requests for the new version that were handed out to hosts.
+    /// Requests for the new version that were handed out to hosts, less those that they returned unsent.
     dealt: u64,
     /// Requests that may be handed out, as stored in the platform.
     allotted: u64,
@@ -97,8 +97,8 @@
     /// Opens a roll-out that is due at `due` and resumes the stored progress of an earlier coordinator, if it is of
     /// this order.
     #[must_use]
-    pub fn open(order: Order, bounds: Bounds, due: Instant, kept: Option<&Progress>) -> Self {
-        let own = kept.filter(|progress| order.matches(progress));
+    pub fn open(order: Order, bounds: Bounds, due: Instant, stored: Option<&Progress>) -> Self {
+        let own = stored.filter(|progress| order.matches(progress));
         let duration = u64::try_from(order.duration.as_millis()).unwrap_or(u64::MAX);
         let due_ms = order.seen_ms.saturating_add(duration);
         let mut rollout = Self {
@@ -265,7 +265,7 @@
     }
 
     /// Decides by the evidence, at the due time or when the bound is used up. Without evidence the version counts as
-    /// bad, because a completion cannot be taken back.
+    /// bad, because a completion cannot be taken back once it is stored.
     fn decide_by_evidence(&mut self) {
         let missing = self.evidence.missing();
         let untried = || "not tried under all requests".to_owned();
--- a/cypressvane/src/coordination/rollout/report.rs
+++ b/cypressvane/src/coordination/rollout/report.rs
@@ -43,7 +43,7 @@
     pub why: String,
     /// Requests of the service that hosts have reported.
     pub requests: u64,
-    /// Requests that hosts were allowed for the canaries.
+    /// Requests that hosts were allowed for the canaries, less those that they returned unsent.
     pub dealt: u64,
     /// Whole answers of the new version.
     pub answers: u64,
--- a/cypressvane/src/coordination/server/mod.rs
+++ b/cypressvane/src/coordination/server/mod.rs
@@ -38,8 +38,8 @@
     pub(crate) pause: Duration,
     /// Estimated number of tokens in the answer; 0 if unknown.
     pub(crate) answer_tokens: u32,
-    /// Whether an answer that gave no earlier sign of its beginning is that of a plain call, so that its duration
-    /// measures the server. The duration of a generation includes all of its tokens.
+    /// Whether a whole answer without an earlier first token counts as the first token: true for a plain call, whose
+    /// duration measures the server, and false for a generation, whose duration includes all of its tokens.
     pub(crate) is_route: bool,
 }
 
@@ -155,12 +155,12 @@
         self.running.len()
     }
 
-    /// Returns the free places that the server's limit allows to be filled now.
+    /// Returns the free slots that the server's limit allows to be filled now.
     pub(crate) fn free_slots(&self, now: Instant) -> u32 {
         let running = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
-        let idle = self.slots.saturating_sub(running);
+        let free = self.slots.saturating_sub(running);
         let allowance = self.pacing.allowance(now).map(to_u32);
-        allowance.map_or(idle, |allowance| idle.min(allowance))
+        allowance.map_or(free, |allowance| free.min(allowance))
     }
 
     /// Returns the prompt tokens of the requests that have no first token yet.
@@ -382,7 +382,7 @@
     }
 }
 
-/// Returns a number from 0 to 1 that differs between servers.
+/// Returns a number from 0 to 1 that depends on the server's name.
 fn jitter_of(name: &Name) -> f64 {
     let sum = name
         .bytes()
--- a/cypressvane/src/coordination/servers/mod.rs
+++ b/cypressvane/src/coordination/servers/mod.rs
@@ -90,13 +90,13 @@
         self.rebuild_indexes();
         let mut ended = Vec::new();
         for spec in specs {
-            ended.extend(self.follow_one(spec, now));
+            ended.extend(self.apply_entry(spec, now));
         }
         self.rebuild_indexes();
         ended
     }
 
-    fn follow_one(&mut self, spec: &Spec, now: Instant) -> Vec<Ticket> {
+    fn apply_entry(&mut self, spec: &Spec, now: Instant) -> Vec<Ticket> {
         let index = self.by_name.get(&spec.name).copied().unwrap_or_else(|| {
             self.list.push(Server::new(spec, &self.defaults, now));
             self.list.len() - 1
@@ -105,7 +105,7 @@
         let reported = self.unlisted.remove(&spec.name);
         let server = &mut self.list[index];
         let ended = match server.compare_start(spec) {
-            // A late entry of an earlier start.
+            // An outdated entry, from before the server restarted.
             Ordering::Less => return Vec::new(),
             Ordering::Equal => Vec::new(),
             Ordering::Greater => {
@@ -184,7 +184,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Puts servers whose time down is over on trial, and opens those whose limits allow it.
+    /// Puts servers that are no longer down on trial, and opens those whose limits allow it.
     pub(crate) fn wake(&mut self, now: Instant) {
         // The indexes in `unavailable` refer to `list`, which changes only in `apply_list`, which also rebuilds them.
         let later = self.unavailable.split_off(&(now, usize::MAX));
@@ -199,7 +199,8 @@
         }
     }
 
-    /// Applies the limit that a server's answer names; `granted` is when its request was granted here.
+    /// Applies the limit that a server's answer names; `granted` is when its request was granted here, and `by` the host
+    /// that received the answer.
     pub(crate) fn apply_limit(
         &mut self,
         name: &Name,
@@ -344,13 +345,13 @@
         tickets
     }
 
-    /// Returns the free places of live servers that their limits allow to be filled now.
+    /// Returns the free slots of live servers that their limits allow to be filled now.
     pub(crate) fn free_slots(&self, now: Instant) -> u32 {
-        let idle = |server: &Server| match server.health.state {
+        let free_slots = |server: &Server| match server.health.state {
             State::Live => server.free_slots(now),
             State::Trial | State::Leaving | State::Down { .. } => 0,
         };
-        self.list.iter().map(idle).sum()
+        self.list.iter().map(free_slots).sum()
     }
 
     /// Returns the number of servers that take work.
--- a/cypressvane/src/coordination/servers/placement.rs
+++ b/cypressvane/src/coordination/servers/placement.rs
@@ -50,8 +50,7 @@
 }
 
 impl Servers {
-    /// Returns the best open server for an offer that is placed only if it is on time, or for a late one; `None` if
-    /// it had better wait.
+    /// Returns the best open server for an early-refusal offer, on time or late; `None` if the offer should wait.
     ///
     /// An offer that is on time goes only to a server on which it stays on time, and no offer goes where it would
     /// make others late, as long as another server of the pool does better.
@@ -60,7 +59,7 @@
         let tokens = u64::from(offer.prompt_tokens);
         let due = offer.due();
         let (preferences, work) = (offer.preferences(), offer.work());
-        // These scan all servers, so they are evaluated only if they matter.
+        // These scan further servers, so they are evaluated only if they matter.
         let any_keeps_pauses_within =
             LazyCell::new(|| self.any_keeps_pauses_within(tokens, offer.pause));
         let any_answers_by =
@@ -87,24 +86,24 @@
         })
     }
 
-    /// Returns the open server with the lowest cost, scanning from `first` on. `bid` returns the cost and the time to
-    /// the first token for a server, or `None` to rule the server out.
+    /// Returns the open server with the lowest cost, scanning from `first` on. `evaluate` returns the cost and the time
+    /// to the first token for a server, or `None` to rule the server out.
     fn cheapest(
         &self,
         first: usize,
-        bid: impl Fn(&Server) -> Option<(Duration, Duration)>,
+        evaluate: impl Fn(&Server) -> Option<(Duration, Duration)>,
     ) -> Option<Choice> {
         let in_scan_order = self.open.range(first..).chain(self.open.range(..first));
         let scanned = in_scan_order.take(SCAN_MAX).map(|index| &self.list[*index]);
-        let bids = scanned.filter_map(|server| Some((bid(server)?, server)));
-        let ((_, first_token), server) = bids.min_by_key(|((cost, _), _)| *cost)?;
+        let evaluated = scanned.filter_map(|server| Some((evaluate(server)?, server)));
+        let ((_, first_token), server) = evaluated.min_by_key(|((cost, _), _)| *cost)?;
         Some(Choice {
             server: server.name.clone(),
             first_token,
         })
     }
 
-    /// Whether a server that takes work could give a whole answer before `by`.
+    /// Whether a live server that no limit delays could give a whole answer before `by`.
     fn any_answers_by(&self, work: &Work, by: Instant, now: Instant) -> bool {
         let ends = |server: &Server| {
             server.whole_after(server.first_token_in(work.prompt_tokens, now), work)
@@ -113,7 +112,8 @@
             .any(|server| ends(server).is_none_or(|ends| now + ends <= by))
     }
 
-    /// Whether a server that takes work could read a prompt and keep the pauses of its streams within `pause`.
+    /// Whether a live server that no limit delays could read a prompt and keep the pauses of its streams within
+    /// `pause`.
     fn any_keeps_pauses_within(&self, prompt_tokens: u64, pause: Duration) -> bool {
         self.live_unlimited()
             .any(|server| server.keeps_pauses_within(prompt_tokens, pause))
--- a/cypressvane/src/coordination/shard.rs
+++ b/cypressvane/src/coordination/shard.rs
@@ -98,7 +98,7 @@
     /// Number of shards.
     #[must_use]
     pub fn count(&self) -> u16 {
-        // `of` creates at most 2^15 shards.
+        // `new` creates at most 2^15 shards.
         u16::try_from(self.slots.len()).unwrap_or(u16::MAX)
     }
 
--- a/cypressvane/src/protocol/headers.rs
+++ b/cypressvane/src/protocol/headers.rs
@@ -255,7 +255,7 @@
     }
 
     /// Converts a caller's headers to the headers that are sent to a backend server.
-    pub fn write_request(&self, headers: &mut HeaderMap, delivery: &ForwardMeta<'_>) {
+    pub fn write_request(&self, headers: &mut HeaderMap, meta: &ForwardMeta<'_>) {
         headers.remove(AUTHORIZATION);
         for reserved in &self.reserved {
             headers.remove(reserved);
@@ -263,11 +263,11 @@
         set_header(
             headers,
             &self.deadline_ms,
-            Some(&millis(delivery.left).to_string()),
+            Some(&millis(meta.left).to_string()),
         );
-        set_header(headers, &self.account, delivery.account);
-        set_header(headers, &self.server, Some(delivery.server));
-        let last_event = delivery.last_event.map(|event| event.to_string());
+        set_header(headers, &self.account, meta.account);
+        set_header(headers, &self.server, Some(meta.server));
+        let last_event = meta.last_event.map(|event| event.to_string());
         set_header(headers, &self.last_event, last_event.as_deref());
     }
 
--- a/cypressvane/src/protocol/message.rs
+++ b/cypressvane/src/protocol/message.rs
@@ -91,10 +91,10 @@
     /// Home to holder: the request still waits; sent in reply to a repeated offer.
     #[serde(rename = "q")]
     Queued { sequence: u64 },
-    /// Home to holder: the request should be offered to the service's shard number `to`, which has idle places.
+    /// Home to holder: the request should be offered to the service's shard number `to`, which has free slots.
     #[serde(rename = "m")]
     Move { sequence: u64, to: u16 },
-    /// Home to the home of another shard of the service: number of idle places not needed by waiting requests.
+    /// Home to the home of another shard of the service: number of free slots not needed by waiting requests.
     #[serde(rename = "i")]
     Idle { shard: Shard, places: u32 },
     /// Home to holder: the request is refused.
@@ -247,7 +247,7 @@
     pub(crate) early: bool,
     /// Whether the request was refused before, or failed on a server; it then takes precedence.
     pub(crate) returning: bool,
-    /// Identifies the request if it is sent again after a refusal; `None` if nothing does.
+    /// Identifies the request if it is sent again after a refusal; `None` if it cannot be recognised.
     pub(crate) mark: Option<u64>,
     /// Hash of the prompt's prefix, used to prefer a server that recently processed it.
     pub(crate) opening: Option<u64>,
--- a/cypressvane/src/protocol/request.rs
+++ b/cypressvane/src/protocol/request.rs
@@ -45,8 +45,8 @@
 
 impl NotRun {
     /// Returns the proof if the answer states that the request did not run.
-    pub(crate) fn stated_in(reply: &AnswerMeta) -> Option<Self> {
-        reply.not_run.then_some(Self(()))
+    pub(crate) fn stated_in(answer: &AnswerMeta) -> Option<Self> {
+        answer.not_run.then_some(Self(()))
     }
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Refuses the request without sending it again.
+    /// Refuses the request instead of sending it to a server.
     pub(crate) fn refuse(self, reason: Reason) -> Refusal {
         match self {
             // The caller has sent the same request before under another id, and it may have run.
--- a/cypressvane/src/state/config/platform.rs
+++ b/cypressvane/src/state/config/platform.rs
@@ -16,7 +16,7 @@
     pub table: SocketAddr,
     /// Address of the host list.
     pub hosts: SocketAddr,
-    /// Interval between reads of the configuration's head row, in milliseconds.
+    /// Interval between reads of the table service for a newer configuration, in milliseconds.
     #[serde(default = "Platform::default_poll_ms")]
     pub poll_ms: u64,
     /// Protocol of the platform.
@@ -67,7 +67,7 @@
         1_000
     }
 
-    /// Returns the interval between reads of the configuration's head row.
+    /// Returns the interval between reads of the table service for a newer configuration.
     #[must_use]
     pub fn poll(&self) -> Duration {
         Duration::from_millis(self.poll_ms)
--- a/cypressvane/src/state/fleet/mod.rs
+++ b/cypressvane/src/state/fleet/mod.rs
@@ -35,7 +35,7 @@
     /// Default deadline for requests without one: time from arrival to the complete answer, in milliseconds.
     #[serde(default = "Tier::default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Whether a request that has already missed its first-token target is refused instead of answered late.
+    /// Whether a request that cannot meet its first-token target is refused instead of answered late.
     #[serde(default)]
     pub refuse_late: bool,
 }
--- a/cypressvane/src/state/manifest.rs
+++ b/cypressvane/src/state/manifest.rs
@@ -202,16 +202,16 @@
             accounts: Vec::new(),
             ..fleet.clone()
         };
-        let mut cut = Self {
+        let mut partition = Self {
             manifest: Manifest::default(),
             texts: BTreeMap::new(),
         };
-        cut.add(CORE.to_owned(), to_text(&core));
+        partition.add(CORE.to_owned(), to_text(&core));
         for (shard, mut accounts) in shards {
             accounts.sort_by(|one, other| one.name.cmp(&other.name));
-            cut.add(format!("accounts-{shard}"), to_text(&accounts));
+            partition.add(format!("accounts-{shard}"), to_text(&accounts));
         }
-        cut
+        partition
     }
 
     /// Returns all rows of a version, the record last: writing the record accepts the version.
--- a/cypressvane/src/state/platform.rs
+++ b/cypressvane/src/state/platform.rs
@@ -133,7 +133,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
     /// Start time of a backend server, if reported, in milliseconds since the Unix epoch by the server's own clock. A
-    /// different value means that the server restarted and lost its requests and cached state.
+    /// higher value means that the server restarted and lost its requests and cached state.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_ms: Option<u64>,
 }
--- a/cypressvane/src/state/rollout.rs
+++ b/cypressvane/src/state/rollout.rs
@@ -38,12 +38,12 @@
     /// Returns whether stored progress belongs to this order, under its current number or, if the platform lost the
     /// order and it was resubmitted, under its previous number.
     #[must_use]
-    pub fn matches(&self, kept: &Progress) -> bool {
+    pub fn matches(&self, progress: &Progress) -> bool {
         let resubmit_ms = u64::try_from(RESUBMIT_WITHIN.as_millis()).unwrap_or(u64::MAX);
-        let is_resubmission_of = self.to == kept.to
-            && self.era > kept.era
-            && self.seen_ms <= kept.due_ms.saturating_add(resubmit_ms);
-        kept.number == self.number || is_resubmission_of
+        let is_resubmission = self.to == progress.to
+            && self.era > progress.era
+            && self.seen_ms <= progress.due_ms.saturating_add(resubmit_ms);
+        progress.number == self.number || is_resubmission
     }
 }
 
