--- a/cypressvane/src/transport/active.rs
+++ b/cypressvane/src/transport/active.rs
@@ -42,7 +42,8 @@
         })
     }
 
-    /// The version as an encoded `Bundle` for other hosts. The first call on a large version takes long, as it cuts it.
+    /// The version as an encoded `Bundle` for other hosts. The first call on a large version takes long, since it
+    /// encodes the version, and cuts one that is not in parts yet.
     pub(crate) fn encoded(&self) -> &[u8] {
         self.encoded.get_or_init(|| {
             let bundle = rmp_serde::to_vec(&self.bundle());
--- a/cypressvane/src/transport/backend.rs
+++ b/cypressvane/src/transport/backend.rs
@@ -21,7 +21,7 @@
 use crate::transport::runtime::{spawn, timeout};
 
 /// Time after which unacknowledged bytes break the connection; as long as a caller waits for a short call.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a server that broke off an answer may take to accept another connection. On a healthy network the server
 /// replies at once, and a missing reply says nothing about the server.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -53,7 +53,7 @@
         .ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
     // While a long answer is pending, nothing may be sent for long, so a dead connection would go unnoticed.
-    keepalive::enable(&stream, USER_TIMEOUT)?;
+    keepalive::enable(&stream, UNACKNOWLEDGED_TIMEOUT)?;
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(READ_BUFFER_BYTES)
         .handshake(FuturesIo::new(stream))
--- a/cypressvane/src/transport/gateway/admission.rs
+++ b/cypressvane/src/transport/gateway/admission.rs
@@ -217,7 +217,8 @@
     })
 }
 
-/// Returns the silence of a stream, also before its first event, after which its caller leaves, if known.
+/// Returns the silence of a stream, also before its first event, after which its caller abandons it; `None` if that is
+/// unknown or the answer is not a stream.
 fn stream_silence(node: &Node, route: &Route) -> Option<Duration> {
     let silence_timeout = node.dialect.silence_timeout?;
     let pause = Duration::from_millis(route.gap_ms);
--- a/cypressvane/src/transport/gateway/exchange.rs
+++ b/cypressvane/src/transport/gateway/exchange.rs
@@ -28,8 +28,8 @@
 
 /// Time past a request's due time in which its home may still refuse it; after that its holder refuses it.
 const HOME_MARGIN: Duration = Duration::from_millis(20);
-/// Retry delay for a request that no server had room for, or that got no server in time.
-const FULL_RETRY: Duration = Duration::from_millis(500);
+/// Retry-after of a request that no server had room for, or that got no server in time.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Multiple of the route's objective after which a retryable request is taken from a silent server. A server that is
 /// only loaded answers most requests within that time.
 const SILENT_OBJECTIVES: u32 = 3;
@@ -47,7 +47,7 @@
     pub(super) inbound: InboundRequest,
     pub(super) held: HeldRequest,
     pub(super) route: Name,
-    /// The version of the service that the request goes to.
+    /// The pool selected for the request, and with it the version of the service.
     pub(super) pool_choice: PoolChoice,
     /// Number of attempts so far.
     attempts: u32,
@@ -216,7 +216,7 @@
         let refusal = match failure.not_run {
             Some(proof) => {
                 let message = failure.reason.message;
-                let reason = Reason::with_retry_after(Code::Overloaded, message, FULL_RETRY);
+                let reason = Reason::with_retry_after(Code::Overloaded, message, FULL_RETRY_AFTER);
                 request.refuse_not_run(proof, reason)
             }
             None => request.fail(failure.reason),
@@ -364,7 +364,7 @@
     }
 
     /// Time that a server may stay silent: until the whole answer is due, or less if the caller of a silent stream
-    /// leaves earlier.
+    /// abandons it earlier.
     pub(super) fn silence_left(&self) -> Duration {
         let left = self.time_left();
         self.contract
@@ -430,7 +430,7 @@
 
 /// The reason for refusing a request that got no server in time.
 pub(super) fn timed_out() -> Reason {
-    Reason::with_retry_after(Code::DeadlinePassed, "no server in time", FULL_RETRY)
+    Reason::with_retry_after(Code::DeadlinePassed, "no server in time", FULL_RETRY_AFTER)
 }
 
 /// Builds the caller's response from the head of the server's answer and a body.
--- a/cypressvane/src/transport/gateway/inbound.rs
+++ b/cypressvane/src/transport/gateway/inbound.rs
@@ -21,7 +21,7 @@
     pub(super) objective: Duration,
     /// Longest pause between two events of a stream that is still on time.
     pub(super) gap: Duration,
-    /// Silence of a stream after which its caller leaves, if known.
+    /// Silence of a stream after which its caller abandons it, if known.
     pub(super) silence: Option<Duration>,
 }
 
--- a/cypressvane/src/transport/host.rs
+++ b/cypressvane/src/transport/host.rs
@@ -34,11 +34,11 @@
 
 pub use crate::transport::operators::State;
 
-/// Period of the checks for missing replies, and of following roll-outs.
+/// Period of the checks for missing replies, of following roll-outs, and of reporting on them.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// Period at which a shard's home reports its free slots; a slot is busy for about a second.
 const IDLE_REPORT_PERIOD: Duration = Duration::from_millis(100);
-/// Period at which the healthy hosts are determined and grants are reconciled.
+/// Period at which the hosts that may be homes are determined and grants are reconciled.
 const REFRESH_PERIOD: Duration = Duration::from_millis(100);
 /// Time since the last refresh from which this host counts as having stood still: several periods, and well below
 /// the silence after which another host is suspected (2 s by default).
@@ -284,7 +284,7 @@
 fn log_candidate_changes(node: &Node, changes: &CandidateChanges, now: Instant) {
     let lost = changes.lost.iter().take(HOSTS_LOGGED_MAX);
     let lost: Vec<_> = lost
-        .map(|(name, unfit)| format!("{name} {}", unfit.text()))
+        .map(|(name, ineligibility)| format!("{name} {}", ineligibility.text()))
         .collect();
     let gained: Vec<&str> = changes
         .gained
--- a/cypressvane/src/transport/http/client.rs
+++ b/cypressvane/src/transport/http/client.rs
@@ -1,6 +1,6 @@
 //! An HTTP client that opens one connection per call.
 //!
-//! A connection is never reused, so a late answer cannot be taken for the answer to another call.
+//! A connection is never reused, so a late answer cannot be mistaken for the answer to another call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,7 +40,7 @@
         /// What went wrong.
         cause: String,
     },
-    /// The call was sent, and the answer or the rest of it did not arrive in time.
+    /// The call was sent, and its answer did not arrive, or only in part, in time.
     #[error("{address} sent nothing in time")]
     Silent {
         /// The address that was called.
--- a/cypressvane/src/transport/http/keepalive_tests.rs
+++ b/cypressvane/src/transport/http/keepalive_tests.rs
@@ -1,7 +1,7 @@
 //! Guards against keepalive probes that outlast the user timeout.
 //!
 //! On a site where most open connections fell silent without a reset while new ones worked, calls that waited at the
-//! platform broke after 10.0 s instead of the configured 2.5 s; the hosts read the host list again that late. The user
+//! platform broke after 10.0 s instead of the configured 2.5 s; the hosts read the host list again only then. The user
 //! timeout bounds only unacknowledged data, and a waiting call sends none, so the probes ran for the system's default
 //! count: the first probe and nine more.
 
--- a/cypressvane/src/transport/http/mod.rs
+++ b/cypressvane/src/transport/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers, operators, hosts and backend servers, on `async-h1`.
+//! HTTP towards callers, operators, other hosts, the platform and backend servers, on `async-h1`.
 //!
 //! `listener` and `keepalive` also serve the connections of `gateway` and `backend`, which use `hyper`.
 
--- a/cypressvane/src/transport/mod.rs
+++ b/cypressvane/src/transport/mod.rs
@@ -1,12 +1,12 @@
-//! Network I/O, in one module for each kind of peer.
+//! Network I/O, in one module for each kind of counterpart.
 //!
-//! | module | peer |
+//! | module | counterpart |
 //! | --- | --- |
 //! | `callers` | callers of completions and plain services |
 //! | `gateway` | callers on routes |
 //! | `backend` | backend servers of requests on routes |
 //! | `peers` | the other hosts |
-//! | `platform` | the platform's table service and host list |
+//! | `platform` | the platform's table service, host list and configuration source |
 //! | `operators` | operators and their tools |
 //!
 //! The path of a request: a listener of `callers` or `gateway` admits it (`admission`, `accounts`), it waits in the
--- a/cypressvane/src/transport/node.rs
+++ b/cypressvane/src/transport/node.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The time since the last call.
+    /// The time since the last call of this method.
     pub(crate) fn lap(&self) -> Lap {
         lock(&self.watch).lap()
     }
@@ -339,7 +339,7 @@
         lock(&self.lease).age(Instant::now())
     }
 
-    /// Whether the accounts' keys may still be taken as valid at `now`.
+    /// Whether the accounts' keys may still be considered valid at `now`.
     ///
     /// If withdrawn keys must become void within a set time, a host that has not seen the configuration confirmed for
     /// that long cannot know which keys are valid.
--- a/cypressvane/src/transport/operators/mod.rs
+++ b/cypressvane/src/transport/operators/mod.rs
@@ -118,8 +118,8 @@
 
     /// The name of the operator whose key the request carries.
     ///
-    /// The bootstrap key of the settings is valid only while no configuration is in force, and with a configuration
-    /// from another source than the table service, which names no operators.
+    /// The bootstrap key of the settings is valid only while no configuration is in force, or while the one in force
+    /// comes from a source other than the table service and so names no operators.
     fn operator(&self, request: &HttpRequest) -> Option<Name> {
         let key = bearer(request)?;
         let own = self
--- a/cypressvane/src/transport/operators/orders.rs
+++ b/cypressvane/src/transport/operators/orders.rs
@@ -35,7 +35,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of polls after taking over from a silent issuer, to detect a late order from it.
 const TAKEOVER_POLLS: u32 = 10;
-/// Delay before each of these polls.
+/// Delay before each poll after a takeover.
 const TAKEOVER_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// Largest accepted answer of a server, in bytes.
 const ANSWER_BYTES_MAX: u64 = 1 << 20;
--- a/cypressvane/src/transport/peers/links/candidates.rs
+++ b/cypressvane/src/transport/peers/links/candidates.rs
@@ -44,7 +44,7 @@
         Some(home)
     }
 
-    /// The changes to a later list, which is sorted too; `unfit` returns why a host is no longer in it.
+    /// The changes to a later list, which is sorted too; `ineligibility` returns why a host is no longer in it.
     pub(super) fn changes(
         &self,
         later: &[Name],
--- a/cypressvane/src/transport/peers/links/link.rs
+++ b/cypressvane/src/transport/peers/links/link.rs
@@ -23,9 +23,9 @@
 
 /// Timeout for connecting a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time without acknowledgements after which a connection breaks, though it may still look open. A packet is sent three
-/// times within it, so that two losses in a row break nothing.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(700);
+/// Time without acknowledgements after which a connection breaks, though it may still appear open. A packet is sent
+/// three times within it, so that two losses in a row break nothing.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(700);
 /// Backoff after a failed connection attempt, and after a connection that broke sooner than this.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
 /// Number of reports of running requests that the other host gets after a reconnect: one at once, and one when the
@@ -37,8 +37,8 @@
 /// Age from which a connection is replaced when a message goes unanswered: during a younger one, messages that were
 /// sent over the previous connection may still be answered.
 const DOUBT_AGE_MIN: Duration = Duration::from_millis(500);
-/// The same for a connection that itself replaced one for an unanswered message: the other host is then more likely
-/// overloaded, and reconnects from all hosts would add to its load.
+/// Age from which a connection is replaced that itself replaced one for an unanswered message: the other host is then
+/// more likely overloaded, and reconnects from all hosts would add to its load.
 const DOUBT_AGE_MIN_REPEATED: Duration = Duration::from_secs(4);
 /// Most messages in a frame.
 const BATCH_MAX: usize = 256;
@@ -55,7 +55,7 @@
     pub(super) cut_off: bool,
     pub(super) last_received: Option<Instant>,
     /// Since when its heartbeats say that it receives nothing from this host.
-    pub(super) unheard_since: Option<Instant>,
+    pub(super) not_receiving_since: Option<Instant>,
 }
 
 /// The link to one other host.
@@ -67,7 +67,7 @@
     pub(super) queue: Sender<Message>,
     /// Requests a new connection.
     pub(super) reconnects: Sender<()>,
-    /// Whether the other host has left a message unanswered, which the next heartbeat tells it.
+    /// Whether the other host has left a message unanswered, which the next heartbeat reports to it.
     pub(super) doubted: AtomicBool,
     /// Reports of running requests that are still due after a reconnect, since earlier messages may be lost.
     pub(super) reports_due: AtomicU8,
@@ -221,7 +221,7 @@
     let mut timeout = CONNECT_TIMEOUT;
     loop {
         let connection =
-            client::connect_with_user_timeout(address, timeout, UNACKNOWLEDGED_MAX).await;
+            client::connect_with_user_timeout(address, timeout, UNACKNOWLEDGED_TIMEOUT).await;
         let set_connected = |connected| {
             let Some(link) = link.upgrade() else { return };
             *lock(&link.connected) = connected;
--- a/cypressvane/src/transport/peers/links/mod.rs
+++ b/cypressvane/src/transport/peers/links/mod.rs
@@ -332,7 +332,7 @@
         home::position(subject, &reaching, &self.me.name)
     }
 
-    /// The same position among all known hosts, whether they may be homes or not.
+    /// This host's position in the order for `subject` among all known hosts, whether they may be homes or not.
     pub(crate) fn position_among_known(&self, subject: &str) -> usize {
         let known: Vec<Name> = self.peers.load().keys().cloned().collect();
         home::position(subject, &known, &self.me.name)
@@ -348,10 +348,10 @@
     /// This host's share of the limits that all hosts enforce together.
     pub(crate) fn share(&self, now: Instant) -> Share {
         let links = self.peers.load();
-        let connected = links
+        let recently_received = links
             .values()
             .filter(|link| link.has_received_within(self.suspect_after(), now));
-        let represented = u32::try_from(connected.count() + 1).unwrap_or(u32::MAX);
+        let represented = u32::try_from(recently_received.count() + 1).unwrap_or(u32::MAX);
         Share {
             represented,
             total: self.known_hosts(),
--- a/cypressvane/src/transport/peers/links/silence.rs
+++ b/cypressvane/src/transport/peers/links/silence.rs
@@ -18,14 +18,14 @@
 impl Links {
     /// Discounts the time for which this host itself was suspended from the silence of the others.
     ///
-    /// A host that resumes has yet to read the messages that arrived meanwhile. Without this it would take all others
-    /// for dead, and itself for the home of every pool and account.
+    /// A host that resumes has yet to read the messages that arrived meanwhile. Without this it would consider all
+    /// others dead, and itself the home of every pool and account.
     pub(crate) fn discount_suspension(&self, time: Duration, now: Instant) {
         let later = |at: Instant| (at + time).min(now);
         for link in self.peers.load().values() {
             let mut view = lock(&link.view);
             view.last_received = view.last_received.map(later);
-            view.unheard_since = view.unheard_since.map(later);
+            view.not_receiving_since = view.not_receiving_since.map(later);
         }
     }
 
@@ -50,21 +50,21 @@
     /// A link may be silent though each of its packets is acknowledged, so only the other host can detect it. A single
     /// report may be outdated, since a host that was frozen soon receives messages again: the link is reconnected only
     /// if the reports go on for the suspicion timeout.
-    pub(crate) fn note_reception(&self, from: &Name, hears: bool, now: Instant) -> bool {
+    pub(crate) fn note_reception(&self, from: &Name, is_receiving: bool, now: Instant) -> bool {
         let links = self.peers.load();
         let Some(link) = links.get(from) else {
             return false;
         };
         let mut view = lock(&link.view);
-        if hears || !link.is_connected() {
-            view.unheard_since = None;
+        if is_receiving || !link.is_connected() {
+            view.not_receiving_since = None;
             return false;
         }
-        let since = *view.unheard_since.get_or_insert(now);
+        let since = *view.not_receiving_since.get_or_insert(now);
         if now.saturating_duration_since(since) < self.suspect_after() {
             return false;
         }
-        view.unheard_since = None;
+        view.not_receiving_since = None;
         link.reconnect();
         true
     }
@@ -72,8 +72,8 @@
     /// Reconnects the link to a host that left a message unanswered, unless the connection is too young; returns
     /// whether it does.
     ///
-    /// The next heartbeat tells the other host, since its own link may be the silent one. Later messages are then
-    /// answered long before the host would be suspected.
+    /// The next heartbeat reports this to the other host, since its own link may be the silent one. Later messages
+    /// are then answered long before the host would be suspected.
     pub(crate) fn reconnect_unanswered(&self, host: &Name, now: Instant) -> bool {
         let links = self.peers.load();
         let Some(link) = links.get(host) else {
@@ -86,8 +86,8 @@
         is_reconnected
     }
 
-    /// The hosts whose links have been reconnected, once at once and once `later`: messages sent to them before may be
-    /// lost.
+    /// The hosts whose links have been reconnected, each returned once at once and once `later`: messages sent to it
+    /// before may be lost.
     pub(crate) fn take_reconnected(&self, later: Duration, now: Instant) -> Vec<Name> {
         let links = self.peers.load();
         let reconnected = links
--- a/cypressvane/src/transport/platform/fetch.rs
+++ b/cypressvane/src/transport/platform/fetch.rs
@@ -25,7 +25,7 @@
 /// Largest configuration accepted from another host, in bytes.
 const BUNDLE_BYTES_MAX: u64 = 64 << 20;
 
-/// Fetches the versions that this host's own polls do not deliver from other hosts, for as long as it runs; signals
+/// Fetches from other hosts the versions that this host's own polls do not deliver, for as long as it runs; signals
 /// `fetched` after each.
 ///
 /// Otherwise a host that the platform rejects, or whose call gets no answer, would refuse what every other host serves.
@@ -35,7 +35,7 @@
     while wakeups.recv().await.is_ok() {
         let announced = node.links.newest_version();
         Timer::after(OWN_POLL_GRACE).await;
-        // Versions announced meanwhile get this time of their own.
+        // A version announced meanwhile gets a grace period of its own.
         if node.version() < announced && newest(node).await {
             // A full channel already holds the signal.
             let _ = fetched.try_send(());
--- a/cypressvane/src/transport/platform/follow.rs
+++ b/cypressvane/src/transport/platform/follow.rs
@@ -26,7 +26,7 @@
 const PEERS_WAIT: Duration = Duration::from_secs(1);
 /// Longest additional time if there are many parts; each host takes a share of it by a hash of its name.
 const PEERS_WAIT_EXTRA: Duration = Duration::from_secs(4);
-/// Interval between two rounds of asking them.
+/// Interval between two rounds of asking other hosts.
 const PEERS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows the configuration for as long as the host runs; `wakeups` wake the task early.
--- a/cypressvane/src/transport/platform/host_list.rs
+++ b/cypressvane/src/transport/platform/host_list.rs
@@ -23,7 +23,7 @@
 const READ_BACKOFF: Duration = Duration::from_millis(100);
 /// Time after which a host that has added itself, but is missing from the list, adds itself again: longer than the list
 /// takes to show the entry on a site that starts.
-const REENTER_AFTER: Duration = Duration::from_secs(4);
+const REREGISTER_AFTER: Duration = Duration::from_secs(4);
 /// Silence after which a host is removed from the list: longer than hosts are frozen or take to restart.
 const REMOVE_AFTER: Duration = Duration::from_secs(15);
 /// Number of hosts that announce changes to the others, so that two may fail at once. With eight of them, these
@@ -31,7 +31,7 @@
 const ANNOUNCERS: usize = 3;
 /// How long announcements of changes mention that the platform has become available again: longer than expired entries
 /// are kept after that.
-const RETURN_ANNOUNCED_FOR: Duration = Duration::from_secs(10);
+const RECOVERY_ANNOUNCED_FOR: Duration = Duration::from_secs(10);
 /// Time after its start in which a host expects its links to connect: 294 of them took 4 s on hosts with 0.12 of a core
 /// that all started together.
 const STARTUP: Duration = Duration::from_secs(8);
@@ -48,8 +48,8 @@
     let mut last_version = 0;
     let mut retention = Retention::default();
     let mut is_unavailable = false;
-    let mut entered_at = None;
-    let mut last_returns = None;
+    let mut registered_at = None;
+    let mut last_restore_count = None;
     loop {
         let mut pause = node.host_list.read_interval();
         let region = node.config.host.region.clone();
@@ -91,11 +91,11 @@
         if has_recovered(&node, &mut is_unavailable, last_tag.is_some()) {
             node.note_platform_recovered(Instant::now());
         }
-        let returns = Some(node.host_list.restore_count());
-        if returns != last_returns {
+        let restore_count = Some(node.host_list.restore_count());
+        if restore_count != last_restore_count {
             // The platform may have lost the entry of this host.
-            entered_at = None;
-            last_returns = returns;
+            registered_at = None;
+            last_restore_count = restore_count;
             node.note_restores(node.host_list.restore_count());
         }
         let entries = retention.merge(listed.clone(), node.platform_recovered_at(), Instant::now());
@@ -109,7 +109,7 @@
             last_version = version;
         }
         if node.host_list.has_self_registration() && is_read {
-            maintain_entries(&node, &last, &mut entered_at).await;
+            maintain_entries(&node, &last, &mut registered_at).await;
         }
         // It makes no difference whether an installed configuration or the timeout ends the wait.
         let _ = timeout(pause, wakeups.recv()).await;
@@ -161,16 +161,17 @@
 
 /// Adds this host to the list if its entry is missing, and removes hosts that are gone.
 ///
-/// `entered_at` is when this host last added itself: the list shows the entry with a delay, and may change meanwhile.
-async fn maintain_entries(node: &Node, entries: &[Entry], entered_at: &mut Option<Instant>) {
-    let is_new = entered_at.is_none_or(|at| at.elapsed() >= REENTER_AFTER);
+/// `registered_at` is when this host last added itself: the list shows the entry with a delay, and may change
+/// meanwhile.
+async fn maintain_entries(node: &Node, entries: &[Entry], registered_at: &mut Option<Instant>) {
+    let may_register = registered_at.is_none_or(|at| at.elapsed() >= REREGISTER_AFTER);
     if let Some(own_entry) = node.entry()
         && !node.is_draining()
         && !entries.contains(&own_entry)
-        && is_new
+        && may_register
     {
         let result = node.host_list.register(&own_entry).await;
-        *entered_at = result.is_ok().then(Instant::now);
+        *registered_at = result.is_ok().then(Instant::now);
         log_failure(node, "adding this host", result);
     }
     let is_maintainer = node.links.home_of(LIST_SUBJECT) == node.config.host.name;
@@ -190,7 +191,7 @@
 /// How closely this host follows the list itself. Hosts that do not follow it closely learn of changes from those that
 /// do.
 ///
-/// Before its links are connected, a starting host counts only few hosts and takes itself for a follower. For some
+/// Before its links are connected, a starting host counts only few hosts and considers itself a follower. For some
 /// seconds it also finds its position among all hosts in the list, and batches changes if it would not be a follower
 /// there.
 pub(crate) fn follow_mode(node: &Node) -> FollowMode {
@@ -227,7 +228,7 @@
             continue;
         }
         let recovered_ago = node.platform_recovered_at().map(|at| at.elapsed());
-        let recovered_ago = recovered_ago.filter(|ago| *ago < RETURN_ANNOUNCED_FOR);
+        let recovered_ago = recovered_ago.filter(|ago| *ago < RECOVERY_ANNOUNCED_FOR);
         node.links.broadcast(&Message::Listed {
             news: changes,
             back_ms: recovered_ago.map(millis),
--- a/cypressvane/src/transport/platform/install.rs
+++ b/cypressvane/src/transport/platform/install.rs
@@ -57,7 +57,8 @@
     })
 }
 
-/// The same for a version that is not kept in the table service.
+/// Checks a version that is not kept in the table service, on a blocking thread too, and derives what the request path
+/// needs from it.
 pub(super) async fn activate_external(version: u64, fleet: Fleet) -> Result<Active, Error> {
     let active = smol::unblock(move || {
         fleet.check()?;
--- a/cypressvane/src/transport/platform/mod.rs
+++ b/cypressvane/src/transport/platform/mod.rs
@@ -1,4 +1,6 @@
-//! The platform's services over HTTP with JSON. A platform with another protocol would change only this file.
+//! The platform's services over HTTP with JSON, and the tasks that follow the configuration and the host list.
+//!
+//! A platform with another protocol has its own implementations of the services, which `host::spawn_on` takes.
 
 mod fetch;
 pub(crate) mod follow;
--- a/cypressvane/src/transport/platform/source.rs
+++ b/cypressvane/src/transport/platform/source.rs
@@ -33,8 +33,8 @@
 /// Backoff after the first failed poll.
 const BACKOFF_FIRST: Duration = Duration::from_millis(100);
 
-/// Polls the configuration source of the platform, and fetches from other hosts what the polls do not deliver; `wakeups`
-/// signal that another host has a newer version.
+/// Polls the configuration source of the platform, and fetches from other hosts what the polls do not deliver;
+/// `wakeups` signal that another host has a newer version.
 pub(super) async fn follow(node: &Node, config_store: &dyn ConfigStore, wakeups: &Receiver<()>) {
     let (fetched, peer_fetches) = async_channel::bounded(1);
     let following_peers = fetch::follow_peers(node, wakeups, &fetched);
@@ -115,7 +115,8 @@
     Polled(Result<(), Error>),
     /// Other hosts no longer confirm that the configuration is the newest.
     Stale,
-    /// Other hosts have had a newer version for some time, so the waiting call may never be answered.
+    /// Another host has had a newer version for some time, or has provided one, so the waiting call may never be
+    /// answered.
     Behind,
 }
 
@@ -132,7 +133,7 @@
         if !closely && polls_closely(node) {
             return Outcome::Stale;
         }
-        // Seen twice in a row, so the poll under way has had time to deliver it.
+        // A newer version must be seen twice in a row, so that the poll under way has had time to deliver it.
         let is_behind = node.is_behind();
         if was_behind && is_behind {
             return Outcome::Behind;
--- a/cypressvane/src/transport/quarantine/mod.rs
+++ b/cypressvane/src/transport/quarantine/mod.rs
@@ -100,8 +100,8 @@
             return None;
         }
         let fingerprint = fingerprint();
-        let holds = lock(&self.known).is_quarantined(&fingerprint, Instant::now());
-        holds.then(|| {
+        let is_quarantined = lock(&self.known).is_quarantined(&fingerprint, Instant::now());
+        is_quarantined.then(|| {
             let message = format!(
                 "backend servers ended under this request; operators know it as {fingerprint}"
             );
@@ -253,19 +253,19 @@
         if self.is_empty.load(Ordering::Relaxed) {
             return;
         }
-        let held = self.update(|known| known.sweep(now));
+        let quarantined = self.update(|known| known.sweep(now));
         metrics
             .quarantined
-            .set(i64::try_from(held).unwrap_or(i64::MAX));
+            .set(i64::try_from(quarantined).unwrap_or(i64::MAX));
     }
 
     /// Updates what is known, and everything derived from it.
     fn update<T>(&self, update: impl FnOnce(&mut quarantine::Quarantine) -> T) -> T {
         let mut known = lock(&self.known);
-        let changed = update(&mut known);
+        let outcome = update(&mut known);
         self.is_empty.store(known.is_empty(), Ordering::Relaxed);
         self.links.announce_rulings(known.digest());
-        changed
+        outcome
     }
 
     /// Broadcasts a ruling of this host and schedules a write.
--- a/cypressvane/src/transport/rollout/pool_choice.rs
+++ b/cypressvane/src/transport/rollout/pool_choice.rs
@@ -14,10 +14,10 @@
 
 /// Number of report intervals for which an instruction is valid: three reports in a row, or the replies, may be lost.
 const VALID_REPORTS: u32 = 4;
-/// Most times of the old version in a report for each route: they are samples, since each host sends four reports a
-/// second to one coordinator.
+/// Most times measured for the old version in a report for each route: they are samples, since each host sends four
+/// reports a second to one coordinator.
 const OLD_SAMPLES_MAX: usize = 8;
-/// Most times of the new version in a report for each route, and most broken answers of either version.
+/// Most times measured for the new version in a report for each route, and most broken answers of either version.
 const NEW_SAMPLES_MAX: usize = 64;
 
 /// An undecided order, as the request path sees it.
@@ -72,15 +72,20 @@
     }
 
     /// Applies the coordinator's instruction; returns whether that changes the servers that may get requests.
-    pub(super) fn apply(&self, word: Instruction, report_interval: Duration, now: Instant) -> bool {
-        let permits = match word {
+    pub(super) fn apply(
+        &self,
+        instruction: Instruction,
+        report_interval: Duration,
+        now: Instant,
+    ) -> bool {
+        let permits = match instruction {
             Instruction::Canary(permits) => permits,
             Instruction::All | Instruction::Nothing | Instruction::Ended(_) => 0,
         };
         self.permits.store(permits, Ordering::Relaxed);
         let until = self.age_ms(now + report_interval * VALID_REPORTS);
         self.valid_until_ms.store(until, Ordering::Relaxed);
-        let all = word == Instruction::All;
+        let all = instruction == Instruction::All;
         self.all.swap(all, Ordering::Relaxed) != all
     }
 
--- a/cypressvane/src/transport/scheduler/holder.rs
+++ b/cypressvane/src/transport/scheduler/holder.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Offers a request to the shard that its home names, since that one has idle places.
+    /// Offers a request to the shard that its home names, since that one has free slots.
     pub(super) fn handle_move(&self, from: &Name, sequence: u64, to: u16, now: Instant) {
         let outgoing = {
             let mut held = lock(&self.held);
--- a/cypressvane/src/transport/scheduler/homes.rs
+++ b/cypressvane/src/transport/scheduler/homes.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Passes an offer to its pool, or directs the holder to another shard that has idle places.
+    /// Passes an offer to its pool, or directs the holder to another shard that has free slots.
     pub(super) fn handle_offer(&self, shard: &Shard, offer: Offer, made: OfferKind, now: Instant) {
         lock(&self.pool(shard)).tally.offers += 1;
         let ticket = offer.ticket.clone();
@@ -163,7 +163,7 @@
         self.drop_obsolete(&server_list);
     }
 
-    /// Creates the pools whose home this host is, so that it reports their idle places before the first offer.
+    /// Creates the pools whose home this host is, so that it reports their free slots before the first offer.
     pub(super) fn create_home_pools(&self, server_list: &ServerList) {
         let shards = server_list.shardings.values().flat_map(Sharding::shards);
         for shard in shards.filter(|shard| self.home_of(shard) == self.me) {
@@ -194,8 +194,8 @@
                 departed.insert(name, now);
             }
         }
-        departed.retain(|name, missed| {
-            !listed.contains(name) && now.saturating_duration_since(*missed) < DEPARTED_TTL
+        departed.retain(|name, departed_at| {
+            !listed.contains(name) && now.saturating_duration_since(*departed_at) < DEPARTED_TTL
         });
     }
 
--- a/cypressvane/src/transport/scheduler/mod.rs
+++ b/cypressvane/src/transport/scheduler/mod.rs
@@ -41,7 +41,7 @@
 
 /// Interval at which the pools check deadlines and servers in backoff.
 pub(crate) const TICK: Duration = Duration::from_millis(20);
-/// Age from which a grant that its holder does not list is taken as lost; also the shortest interval between two
+/// Age from which a grant that its holder does not list is treated as lost; also the shortest interval between two
 /// reports of running requests.
 const RECONCILE_AFTER: Duration = Duration::from_secs(2);
 
@@ -137,7 +137,7 @@
     server_list: ArcSwap<ServerList>,
     /// Shards whose homes leave offers unanswered.
     silent_shards: Mutex<SilentShards>,
-    /// Idle places that other shards have reported.
+    /// Free slots that other shards have reported.
     idle: Mutex<Idle>,
     /// When the homes last got a report of running requests.
     reconciled_at: Mutex<Option<Instant>>,
--- a/cypressvane/src/transport/scheduler/reconcile.rs
+++ b/cypressvane/src/transport/scheduler/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reports of the grants still in use, so that a home takes a place back if the end of a request or its grant was lost.
+//! Reports of the grants still in use, so that a home frees a slot if the end of a request or its grant was lost.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::state::name::Name;
 use crate::transport::runtime::lock;
 
-/// Reconciliation rounds without a report of its holder after which a home takes a grant as lost: two reports may be
+/// Reconciliation rounds without a report of its holder after which a home treats a grant as lost: two reports may be
 /// lost in a row.
 const UNCONFIRMED_ROUNDS: u32 = 3;
 /// Rounds for which a home still gets empty reports after the last of its grants to this host has ended.
@@ -21,7 +21,7 @@
     ///
     /// The interval grows with the number of hosts, since a home gets a report from each of them. A home whose link was
     /// reconnected gets a report at once: the ends of requests that were sent over the previous connection may be lost,
-    /// and their places would stay taken for seconds.
+    /// and their slots would stay occupied for seconds.
     pub(crate) fn reconcile(&self, now: Instant) {
         let reconnected = self.links.take_reconnected(RECONCILE_AFTER, now);
         let pause = RECONCILE_AFTER.mul_f64(self.links.stretch());
@@ -56,19 +56,19 @@
         let mut running: HashMap<(Name, Shard), Vec<u64>> = HashMap::new();
         for (sequence, held) in lock(&self.held).iter() {
             if matches!(held.stage, Stage::Granted { .. }) {
-                let pool = (held.home.clone(), held.shard.clone());
-                running.entry(pool).or_default().push(*sequence);
+                let key = (held.home.clone(), held.shard.clone());
+                running.entry(key).or_default().push(*sequence);
             }
         }
         let mut reported = lock(&self.reported_running);
-        for pool in running.keys() {
-            reported.insert(pool.clone(), now);
+        for key in running.keys() {
+            reported.insert(key.clone(), now);
         }
         // A home that missed the end of a request learns of it because the list lacks the request.
         let reported_for = pause * EMPTY_REPORTS;
         reported.retain(|_, at| now.saturating_duration_since(*at) < reported_for);
-        for pool in reported.keys() {
-            running.entry(pool.clone()).or_default();
+        for key in reported.keys() {
+            running.entry(key.clone()).or_default();
         }
         running
     }
--- a/cypressvane/src/transport/scheduler/redirect.rs
+++ b/cypressvane/src/transport/scheduler/redirect.rs
@@ -1,4 +1,4 @@
-//! Offers that a shard without idle places passes to another one, and the reports of idle places between homes.
+//! Offers that a shard without free slots passes to another one, and the reports of free slots between homes.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 /// Lag from which a home passes offers to other shards. On 0.12 of a core, the home of 160 servers reached it at 1,000
 /// offers per second; at lower rates its lag was 8 to 17 ms.
 const REDIRECT_LAG_MIN: Duration = Duration::from_millis(100);
-/// Most other shards to which a home reports its idle places, so that it sends no more in a larger service.
+/// Most other shards to which a home reports its free slots, so that it sends no more in a larger service.
 const IDLE_REPORTS_MAX: u16 = 8;
 
 impl Scheduler {
-    /// The shard that should get a new offer instead: this one has no idle place, or its home lags, and the other one
-    /// has reported idle places.
+    /// The shard that should get a new offer instead: this one has no free slot, or its home lags, and the other one
+    /// has reported free slots.
     pub(super) fn redirect_target(
         &self,
         shard: &Shard,
@@ -29,8 +29,8 @@
         }
         let local = self.pool(shard);
         let mut local = lock(&local);
-        let has_place = !local.pool.is_saturated() && !self.is_lagging(now);
-        if has_place || local.pool.contains(ticket) {
+        let has_free_slot = !local.pool.is_saturated() && !self.is_lagging(now);
+        if has_free_slot || local.pool.contains(ticket) {
             return None;
         }
         let to = lock(&self.idle).take(shard, now)?;
@@ -38,7 +38,7 @@
         Some(to)
     }
 
-    /// Reports the idle places of this host's shards to the homes of other shards; a home that lags reports none.
+    /// Reports the free slots of this host's shards to the homes of other shards; a home that lags reports none.
     pub(crate) fn report_idle(&self, now: Instant) {
         lock(&self.idle).sweep(now);
         let is_lagging = self.is_lagging(now);
@@ -46,8 +46,8 @@
             if !shard.has_others() || self.home_of(&shard) != self.me {
                 continue;
             }
-            let idle = lock(&local).pool.free_slots(now);
-            let places = if is_lagging { 0 } else { idle };
+            let free_slots = lock(&local).pool.free_slots(now);
+            let places = if is_lagging { 0 } else { free_slots };
             let reports = (shard.count - 1).min(IDLE_REPORTS_MAX);
             for step in 1..=reports {
                 let home = self.home_of(&shard.sibling(shard.number + step));
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Records the idle places that the home of another shard reports.
-    pub(super) fn handle_idle(&self, shard: Shard, places: u32, now: Instant) {
-        lock(&self.idle).record_report(shard, places, now);
+    /// Records the free slots that the home of another shard reports.
+    pub(super) fn handle_idle(&self, shard: Shard, free_slots: u32, now: Instant) {
+        lock(&self.idle).record_report(shard, free_slots, now);
     }
 
     /// Whether this host lags so much that another home decides sooner.
--- a/cypressvane/src/transport/scheduler/server_list.rs
+++ b/cypressvane/src/transport/scheduler/server_list.rs
@@ -18,9 +18,8 @@
 
 impl ServerList {
     pub(super) fn of(specs: Specs) -> Self {
-        let sharding = |(service, specs): (&Name, &Vec<Spec>)| {
-            (service.clone(), Sharding::new(service.clone(), specs))
-        };
+        let sharding =
+            |(pool, specs): (&Name, &Vec<Spec>)| (pool.clone(), Sharding::new(pool.clone(), specs));
         let shardings = specs.iter().map(sharding).collect();
         Self { specs, shardings }
     }
@@ -40,7 +39,7 @@
         let counts = |server_list: &Self| -> HashMap<Name, u16> {
             let shardings = server_list.shardings.iter();
             shardings
-                .map(|(service, sharding)| (service.clone(), sharding.count()))
+                .map(|(pool, sharding)| (pool.clone(), sharding.count()))
                 .collect()
         };
         counts(self) == counts(other)
--- a/cypressvane/src/transport/trace.rs
+++ b/cypressvane/src/transport/trace.rs
@@ -120,9 +120,9 @@
 
     /// Records the arrival of the answer, or of the first event of a stream.
     pub(crate) fn record_first_token(&mut self) {
-        let waited = self.arrived.elapsed();
-        self.first_ms.get_or_insert(millis(waited));
-        self.times.first_token.observe(waited.as_secs_f64());
+        let elapsed = self.arrived.elapsed();
+        self.first_ms.get_or_insert(millis(elapsed));
+        self.times.first_token.observe(elapsed.as_secs_f64());
     }
 
     /// Records a pause between two parts of a stream.
