--- a/cypressvane_ctl/src/engine.rs
+++ b/cypressvane_ctl/src/engine.rs
@@ -42,9 +42,9 @@
     let reply = client
         .call(Method::Post, &format!("/v1/orders?server={server}"), &body)
         .await?;
-    let entry: OrderRow = parse(&reply)?;
-    output.print(&entry, || {
-        format!("{server} carried out order {}", entry.newest.number)
+    let row: OrderRow = parse(&reply)?;
+    output.print(&row, || {
+        format!("{server} carried out order {}", row.newest.number)
     })
 }
 
--- a/cypressvane_ctl/src/error.rs
+++ b/cypressvane_ctl/src/error.rs
@@ -28,12 +28,12 @@
         /// The I/O error.
         source: io::Error,
     },
-    /// The contents of a file are invalid, or a file cannot be drawn.
+    /// The contents of a file are invalid, or a chart cannot be drawn into a file.
     #[error("{}: {cause}", path.display())]
     Document {
         /// The file.
         path: PathBuf,
-        /// The error in the file.
+        /// The error in the contents or in drawing.
         cause: String,
     },
     /// A policy program does not compile or fails on an example.
--- a/cypressvane_ctl/src/explain.rs
+++ b/cypressvane_ctl/src/explain.rs
@@ -121,14 +121,15 @@
     });
     let reason = field(&lines[last], "reason");
     Some(Cause {
-        reason: reason.or_else(|| (outcome == CALLER_GONE).then(|| hang_up_reason(&lines[last]))),
+        reason: reason
+            .or_else(|| (outcome == CALLER_GONE).then(|| caller_gone_reason(&lines[last]))),
         evidence: evidence.filter(|_| outcome != ANSWERED),
         outcome,
     })
 }
 
 /// Describes how far a request had come when its caller closed the connection.
-fn hang_up_reason(end: &LogLine) -> String {
+fn caller_gone_reason(end: &LogLine) -> String {
     let number = |name: &str| end.fields.get(name).and_then(Value::as_u64);
     let total = number("ms").unwrap_or_default();
     let server = end.fields.get("server").and_then(Value::as_str);
--- a/cypressvane_ctl/src/main.rs
+++ b/cypressvane_ctl/src/main.rs
@@ -57,11 +57,11 @@
     if let Command::Policy(policy) = &command {
         return policy::run(policy, output);
     }
-    if let Command::Explain(request) = &command {
-        return explain::run(request, output);
+    if let Command::Explain(explain) = &command {
+        return explain::run(explain, output);
     }
-    if let Command::Profile(files) = &command {
-        return profile::run(files, output);
+    if let Command::Profile(profile) = &command {
+        return profile::run(profile, output);
     }
     let client = Client::new(options.host, options.key)?;
     runtime::start(THREADS);
@@ -73,7 +73,7 @@
             Command::Drain(drain) => hosts::drain(&client, &drain.host, output).await,
             Command::Engine(engine) => engine::run(&client, engine, output).await,
             Command::Engines(_) => engines::run(&client, output).await,
-            Command::Quarantine(command) => quarantine::run(&client, command, output).await,
+            Command::Quarantine(quarantine) => quarantine::run(&client, quarantine, output).await,
             Command::Rollout(_) => rollout::run(&client, output).await,
             Command::Policy(_) | Command::Explain(_) | Command::Profile(_) => Ok(()),
         }
--- a/cypressvane_ctl/src/policy.rs
+++ b/cypressvane_ctl/src/policy.rs
@@ -74,10 +74,10 @@
         }],
         ..Fleet::default()
     };
-    let set = Programs::compile(&fleet)?;
+    let programs = Programs::compile(&fleet)?;
     let mut decisions = Vec::new();
     for example in examples(check)? {
-        decisions.push(decide(&set, &name, example)?);
+        decisions.push(decide(&programs, &name, example)?);
     }
     output.print(&decisions, || {
         let lines: Vec<String> = decisions.iter().map(text).collect();
@@ -102,7 +102,7 @@
     })
 }
 
-fn decide(set: &Programs, policy: &Name, example: Example) -> Result<Decision, Error> {
+fn decide(programs: &Programs, policy: &Name, example: Example) -> Result<Decision, Error> {
     let request = Request {
         account: example.account.as_str().into(),
         tier: example.tier.as_str().into(),
@@ -120,7 +120,7 @@
         running: example.running,
         servers: example.servers,
     };
-    Ok(match set.decide(policy, &request, queue)? {
+    Ok(match programs.decide(policy, &request, queue)? {
         Verdict::Wait { priority } => Decision {
             request: example,
             verdict: "wait",
--- a/cypressvane_ctl/src/profile/plot.rs
+++ b/cypressvane_ctl/src/profile/plot.rs
@@ -50,7 +50,7 @@
         .x_label_area_size(2 * FONT_HEIGHT)
         .y_label_area_size(8 * FONT_HEIGHT)
         .build_cartesian_2d(0.0..longest, (0..services.len()).into_segmented())?;
-    let name = |place: &SegmentValue<usize>| match place {
+    let name = |segment: &SegmentValue<usize>| match segment {
         SegmentValue::CenterOf(index) => services.get(*index).map_or("", |name| name).to_owned(),
         SegmentValue::Exact(_) | SegmentValue::Last => String::new(),
     };
--- a/cypressvane_standin/src/bin/measure/run.rs
+++ b/cypressvane_standin/src/bin/measure/run.rs
@@ -189,7 +189,7 @@
         .shape
         .arrivals(plan.seed, plan.load, WARM_UP + plan.time, burst);
     let begun = Instant::now();
-    let dead = Arc::new(AtomicBool::new(false));
+    let is_first_host_killed = Arc::new(AtomicBool::new(false));
     let mut killed_at = None;
     let mut slowed = false;
     let mut running = Vec::new();
@@ -198,7 +198,7 @@
         let past_middle = begun.elapsed() >= middle;
         if past_middle && plan.fault == Some(Fault::KillHost) && killed_at.is_none() {
             killed_at = Some(Instant::now());
-            dead.store(true, Ordering::Relaxed);
+            is_first_host_killed.store(true, Ordering::Relaxed);
             if let Some(host) = fleet.hosts.first_mut().and_then(Option::as_mut) {
                 host.kill();
             }
@@ -214,7 +214,7 @@
         let request = request(plan.shape, &arrival);
         let address = target.address(arrival.host);
         let due = begun + arrival.at;
-        let dead = Arc::clone(&dead);
+        let is_first_host_killed = Arc::clone(&is_first_host_killed);
         let deadline = Duration::from_millis(plan.shape.tiers[arrival.tier].deadline_ms);
         running.push(runtime::spawn(async move {
             let left = (due + deadline).saturating_duration_since(Instant::now());
@@ -222,7 +222,7 @@
             let answer = timeout(left, complete(address, &request)).await;
             // The callers of a killed host lose their answers; they are dropped here, since the
             // baselines have no host process to kill.
-            let lost = arrival.host == 0 && dead.load(Ordering::Relaxed);
+            let lost = arrival.host == 0 && is_first_host_killed.load(Ordering::Relaxed);
             let answer = answer.and_then(Result::ok).filter(|_| !lost);
             (arrival, sent.saturating_duration_since(due), answer)
         }));
--- a/cypressvane_standin/src/bin/slopes/sizes.rs
+++ b/cypressvane_standin/src/bin/slopes/sizes.rs
@@ -146,8 +146,8 @@
     fleet.wait_until_linked().await?;
     for at_one in [0].iter().chain(rates) {
         let addresses: Vec<SocketAddr> = (0..hosts).map(|index| fleet.callers(index)).collect();
-        let all = at_one * u32::try_from(hosts).unwrap_or(1);
-        let load = runtime::spawn(load(addresses, all, SETTLE + LOADED + SETTLE));
+        let total_rate = at_one * u32::try_from(hosts).unwrap_or(1);
+        let load = runtime::spawn(load(addresses, total_rate, SETTLE + LOADED + SETTLE));
         Timer::after(SETTLE).await;
         let used = measure(&fleet, LOADED).await?;
         load.await?;
@@ -233,7 +233,7 @@
         "reads of the table for a change, by one host",
         "client accounts",
     );
-    let mut moved = Series::new("bytes that one host reads for a change", "client accounts");
+    let mut read_bytes = Series::new("bytes that one host reads for a change", "client accounts");
     for size in sizes {
         let fleet = fleet_of(2).await?;
         fleet.submit(0, &configuration(*size, 1_000)).await?;
@@ -251,7 +251,7 @@
             to_f64(*size),
             (count_to_f64(after.reads - before.reads) - polls).max(0.0) / 2.0,
         );
-        moved.add(
+        read_bytes.add(
             to_f64(*size),
             count_to_f64(after.read_bytes - before.read_bytes) / 2.0,
         );
@@ -259,7 +259,7 @@
     costs.print();
     applied.print();
     reads.print();
-    moved.print();
+    read_bytes.print();
     Ok(())
 }
 
--- a/cypressvane_standin/src/bin/soak/faults.rs
+++ b/cypressvane_standin/src/bin/soak/faults.rs
@@ -72,7 +72,7 @@
     }
 
     /// The highest version of an accepted submission; 1, the version of the first configuration, if there is none.
-    pub fn accepted(&self) -> u64 {
+    pub fn highest_accepted_version(&self) -> u64 {
         self.accepted
             .iter()
             .map(|record| record.version)
--- a/cypressvane_standin/src/bin/soak/main.rs
+++ b/cypressvane_standin/src/bin/soak/main.rs
@@ -125,7 +125,9 @@
     stop.store(true, Ordering::Relaxed);
     faults.clear(&mut fleet).await?;
     let calls = load.await;
-    fleet.wait_in_force(faults.accepted()).await?;
+    fleet
+        .wait_in_force(faults.highest_accepted_version())
+        .await?;
     let mut found = violations(&calls, &count_arrivals(&fleet, &engines).await?);
     found.extend(faults.violations(&fleet).await?);
     let no = cypressvane::refusal::Ran::No;
@@ -140,7 +142,7 @@
         calls.iter().filter(|call| call.result.is_err()).count(),
         faults.count(),
         faults.kinds(),
-        faults.accepted(),
+        faults.highest_accepted_version(),
         found.len()
     );
     for violation in &found {
--- a/cypressvane_standin/src/engine/mod.rs
+++ b/cypressvane_standin/src/engine/mod.rs
@@ -129,7 +129,7 @@
     /// Wakes the step loop when there is work.
     wake_up: Sender<()>,
     /// Number of completion requests so far, for the ids of those that come without one.
-    answers: AtomicU64,
+    completion_requests: AtomicU64,
 }
 
 /// A running engine.
@@ -151,7 +151,7 @@
         model: model.to_owned(),
         state: Mutex::new(state),
         wake_up,
-        answers: AtomicU64::new(0),
+        completion_requests: AtomicU64::new(0),
     });
     let server = server::bind(address, Options::default(), Arc::clone(&engine))?;
     let steps = runtime::spawn(run_steps(Arc::clone(&engine), wake_ups));
@@ -256,7 +256,7 @@
             .request
             .header(REQUEST_ID)
             .map(|values| values.as_str().to_owned());
-        let number = self.answers.fetch_add(1, Ordering::Relaxed);
+        let number = self.completion_requests.fetch_add(1, Ordering::Relaxed);
         let id = given_id.unwrap_or_else(|| format!("answer-{number}"));
         let settings = self.state().settings.clone();
         *self.state().ledger.seen.entry(id.clone()).or_default() += 1;
--- a/cypressvane_standin/src/process.rs
+++ b/cypressvane_standin/src/process.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    ready: Value,
+    addresses: Value,
 }
 
 /// Path of the workspace program `name`, in the target folder of the running program.
@@ -73,11 +73,11 @@
             .spawn()?;
         let mut lines =
             BufReader::new(child.stdout.take().expect("standard output is piped")).lines();
-        let ready = lines.by_ref().map_while(Result::ok).find_map(|line| {
+        let addresses = lines.by_ref().map_while(Result::ok).find_map(|line| {
             let value: Value = serde_json::from_str(&line).ok()?;
             value.get(LOG_MESSAGE_FIELD).is_none().then_some(value)
         });
-        let Some(ready) = ready else {
+        let Some(addresses) = addresses else {
             let _ = child.kill();
             let _ = child.wait();
             let message = format!("{name} printed no listen address");
@@ -90,7 +90,7 @@
                 }
             });
         }
-        Ok(Self { child, ready })
+        Ok(Self { child, addresses })
     }
 
     /// The address that the process announced as `name`.
@@ -99,9 +99,9 @@
     /// When the process announced no such address.
     #[must_use]
     pub fn address(&self, name: &str) -> SocketAddr {
-        let text = self.ready[name].as_str().unwrap_or_default();
+        let text = self.addresses[name].as_str().unwrap_or_default();
         text.parse()
-            .unwrap_or_else(|_| panic!("no address {name:?} in {}", self.ready))
+            .unwrap_or_else(|_| panic!("no address {name:?} in {}", self.addresses))
     }
 
     /// The process id.
--- a/cypressvaned/src/dev.rs
+++ b/cypressvaned/src/dev.rs
@@ -154,10 +154,10 @@
 
 /// Returns the table rows of an accepted first version.
 fn rows(fleet: &Fleet) -> Vec<(String, String)> {
-    let cut = manifest::Partition::new(fleet);
-    cut.rows(&manifest::Record {
+    let partition = manifest::Partition::new(fleet);
+    partition.rows(&manifest::Record {
         version: 1,
-        manifest: cut.manifest.digest(),
+        manifest: partition.manifest.digest(),
         submission: "dev".to_owned(),
         author: "dev".to_owned(),
         accepted_at: 0,
